--- a/packages/control/pwcontrol.c
+++ b/packages/control/pwcontrol.c
@@ -1,4 +1,4 @@
-/* pwcontrol.c: the control role. */
+/* pwcontrol.c: event loop, start and stop of the control role. */
 #include "pwcontrol.h"
 
 #include "pwbuf.h"
@@ -14,15 +14,19 @@
 #include <zmq.h>
 
 #define TICK_MS 10
-#define TURN_MS 100  /* a longer turn of the loop was held up */
-#define ALIVE_MS 200 /* a loop that came round by then is going on */
+#define ITERATION_MS 100 /* a longer iteration of the loop was stalled */
+/* an iteration that began within this time: the loop is not stalled */
+#define STALL_MS 200
 #define BODY_MAX (16 * 1024 * 1024)
-#define CONNECTIONS_MAX 3000 /* every target may keep one for its heartbeats */
-#define HAND_OVER_MS 2000
+/* every target may keep one open for its heartbeats */
+#define CONNECTIONS_MAX 3000
+#define TRANSFER_MS 2000  /* for the transfer of leadership before a stop */
 #define END_CALLS_MS 1000 /* for answers to reach slow callers */
-#define PLAN_MS 5000 /* a plan's change that is not decided by then is lost */
+/* a planned change that is not decided by then counts as lost */
+#define PLAN_MS 5000
 
-static void feed_state(const pw_control *c, pw_feed_state *st, int64_t now) {
+static void fill_feed_state(const pw_control *c, pw_feed_state *st,
+                            int64_t now) {
   int leads = pwgroup_lease(c->group, now);
   const pw_child *child = pwfeed_children(c->feed);
   *st = (pw_feed_state){.leader = leads,
@@ -35,15 +39,15 @@
     st->entries += child->entries;
 }
 
-/* --- the group's calls --- */
+/* --- callbacks of the group --- */
 
 static void end_plan(pw_control *c, pw_code code) {
-  c->planned = 0;
-  if (c->plans_rollout)
+  c->plan_index = 0;
+  if (c->plan_is_rollout)
     pwcanaries_done(c->canaries);
   else
     pwplanner_done(c->planner, code);
-  c->plans_rollout = 0;
+  c->plan_is_rollout = 0;
 }
 
 static void on_applied(void *arg, const Pw__Entry *e, Pw__Outcome *o,
@@ -56,7 +60,7 @@
                 (int64_t)pwonce_count(pwstate_once(pwgroup_state(c->group))));
   }
   pwpublish_applied(c->publish, e, o);
-  if (e->index == c->planned)
+  if (e->index == c->plan_index)
     end_plan(c, o ? (pw_code)o->code : PW_E_CONFLICT);
   if (o && o->code == PW_OK)
     pwevent_add(c->p->events, PWE_CHANGE, 0, NULL, NULL, NULL,
@@ -68,19 +72,19 @@
     pw__claimed__free_unpacked(cl, NULL);
 }
 
-static void on_led(void *arg, int leader) {
+static void on_leadership(void *arg, int leader) {
   pw_control *c = arg;
   if (!leader)
     return;
-  c->led_at = pwclock_ms();
-  c->planned = 0;
-  c->plans_rollout = 0;
-  pwplanner_lead(c->planner, c->led_at);
-  pwcanaries_lead(c->canaries, c->led_at);
-  c->led_revision = pwres_revision(pwctl_resources(c));
+  c->leader_since = pwclock_ms();
+  c->plan_index = 0;
+  c->plan_is_rollout = 0;
+  pwplanner_lead(c->planner, c->leader_since);
+  pwcanaries_lead(c->canaries, c->leader_since);
+  c->leader_since_revision = pwres_revision(pwctl_resources(c));
 }
 
-/* --- the loop --- */
+/* --- event loop --- */
 
 static void on_messages(pw_control *c, pw_sock *sock, int64_t now) {
   pw_peer from;
@@ -97,7 +101,7 @@
       break;
     case PW__ENVELOPE__BODY_HELLO:
       pwnews_hello(c->news, e, now);
-      feed_state(c, &st, now);
+      fill_feed_state(c, &st, now);
       pwfeed_hello(c->feed, &from, e, &st, NULL, 0, now);
       break;
     case PW__ENVELOPE__BODY_CLAIM:
@@ -131,32 +135,33 @@
 
 static void push(pw_control *c, int64_t now) {
   uint64_t revision = pwres_revision(pwctl_resources(c));
-  if (revision == c->pushed)
+  if (revision == c->pushed_revision)
     return;
-  c->pushed = revision;
+  c->pushed_revision = revision;
   pwwire_set_revision(c->p->wire, revision);
   pwcount_set(c->p->counters, PWC_REVISION, (int64_t)revision);
   pw_feed_state st;
-  feed_state(c, &st, now);
+  fill_feed_state(c, &st, now);
   if (st.leader)
     pwfeed_push(c->feed, &st, now);
 }
 
-/* Of services, or else of models. */
+/* The next change of a service rollout, or else of a model rollout. */
 static Pw__Change *next_plan(pw_control *c, int64_t now) {
-  if (c->planned)
+  if (c->plan_index)
     return NULL;
   Pw__Change *ch = pwcanaries_next(c->canaries, now);
-  c->plans_rollout = ch != NULL;
+  c->plan_is_rollout = ch != NULL;
   return ch ? ch : pwplanner_next(c->planner, pwgroup_term(c->group), now);
 }
 
-/* Proposes the next change that the leader plans; one at a time. The log fences it: it has
-** an effect only if this instance still leads when it is committed. */
-static void plan(pw_control *c, int64_t now) {
+/* Proposes the next change that the leader plans; one at a time. The log
+** fences the change: it takes effect only if this instance still leads when
+** it is committed. */
+static void propose_plan(pw_control *c, int64_t now) {
   if (!pwgroup_lease(c->group, now) || atomic_load(&c->p->stopping))
     return;
-  if (c->planned && now - c->planned_at > PLAN_MS)
+  if (c->plan_index && now - c->plan_at > PLAN_MS)
     end_plan(c, PW_E_UNKNOWN);
   Pw__Change *ch = next_plan(c, now);
   if (!ch)
@@ -166,8 +171,8 @@
   cmd.wall = (uint64_t)pwclock_wall_ms();
   cmd.body_case = PW__COMMAND__BODY_CHANGE;
   cmd.change = ch;
-  c->planned_at = now;
-  pw_code rc = pwgroup_propose(c->group, &cmd, &c->planned, &term);
+  c->plan_at = now;
+  pw_code rc = pwgroup_propose(c->group, &cmd, &c->plan_index, &term);
   if (rc != PW_OK)
     end_plan(c, rc);
   pw__change__free_unpacked(ch, NULL);
@@ -178,7 +183,7 @@
   pwnews_child_left(c->news, child, pwclock_ms());
 }
 
-static void tell_watchers(pw_control *c, int64_t now) {
+static void update_watchers(pw_control *c, int64_t now) {
   char members[PWCONS_MEMBERS][PW_NAME_MAX];
   int n = pwgroup_members(c->group, members);
   int is_member = pwgroup_is_member(c->group);
@@ -186,15 +191,15 @@
   pwwatch_tick(c->watch, pwgroup_in_touch(c->group, now),
                pwgroup_is_leader(c->group), now);
   pwleave_work(c->leave, is_member, now);
-  atomic_store(&c->is_heard, pwwatch_is_heard(c->watch, now));
+  atomic_store(&c->is_connected, pwwatch_is_heard(c->watch, now));
 }
 
-/* What is decided by how long somebody has been silent. */
-static void judge(pw_control *c, int64_t now) {
+/* Does everything that depends on how long a peer has been silent. */
+static void check_silence(pw_control *c, int64_t now) {
   pwfeed_expire(c->feed, on_child_left, c, now);
   pwctl_expire(c, now);
-  tell_watchers(c, now);
-  plan(c, now);
+  update_watchers(c, now);
+  propose_plan(c, now);
 }
 
 static void tick(pw_control *c, int64_t now) {
@@ -202,11 +207,11 @@
   pwbusy_tick(&c->busy, c->p, now);
   pwpublish_tick(c->publish, now);
   if (pwlag_catch_up(&c->lag, now) == 0)
-    judge(c, now);
+    check_silence(c, now);
   pwproc_set_ready(c->p, pwgroup_leader_http(c->group)[0] != 0);
 }
 
-static int may_end(pw_control *c, int64_t now) {
+static int may_stop(pw_control *c, int64_t now) {
   int stopping = atomic_load(&c->p->stopping);
   if (!stopping)
     return 0;
@@ -216,24 +221,25 @@
                 (int)HASH_COUNT(c->waiters));
     pwlog(LOG_NOTICE, "stopping", "%s", "");
   }
-  if (stopping > 1 || now - c->stop_at > HAND_OVER_MS)
+  if (stopping > 1 || now - c->stop_at > TRANSFER_MS)
     return 1;
   if (HASH_COUNT(c->waiters))
     return 0;
   if (!pwgroup_is_leader(c->group))
     return now - c->stop_at > c->p->set->control_heartbeat * 2;
-  /* A leader alone has nobody to hand over to. */
+  /* A leader without other members cannot transfer its leadership. */
   return !pwgroup_hand_over(c->group, now) && pwserve_active(c->http) == 0;
 }
 
-/* A disk that hangs, or a process that stood still: others are not charged with it. */
-static void note_turn(pw_control *c, int64_t now) {
-  int64_t lost_ms = pwlag_turn(&c->lag, now);
-  atomic_store(&c->turned_at, now);
-  if (lost_ms == 0)
+/* Time in which this process was stalled, as by a disk that hangs, does not
+** count as silence of its peers. */
+static void note_iteration(pw_control *c, int64_t now) {
+  int64_t stalled_ms = pwlag_turn(&c->lag, now);
+  atomic_store(&c->iteration_at, now);
+  if (stalled_ms == 0)
     return;
-  pwwatch_excuse(c->watch, lost_ms);
-  pwfeed_excuse(c->feed, lost_ms);
+  pwwatch_excuse(c->watch, stalled_ms);
+  pwfeed_excuse(c->feed, stalled_ms);
 }
 
 static pw_code loop(pw_control *c) {
@@ -242,10 +248,10 @@
                              {NULL, pwmail_fd(c->mail), ZMQ_POLLIN, 0}};
   pw_code rc = PW_OK;
   int64_t ticked = 0;
-  while (rc == PW_OK && !may_end(c, pwclock_ms())) {
+  while (rc == PW_OK && !may_stop(c, pwclock_ms())) {
     zmq_poll(items, 3, TICK_MS);
     int64_t now = pwclock_ms();
-    note_turn(c, now);
+    note_iteration(c, now);
     on_messages(c, c->listener, now);
     on_messages(c, c->dialler, now);
     rc = pwgroup_work(c->group, now); /* reads see what is committed by now */
@@ -267,16 +273,17 @@
   return rc;
 }
 
-/* A target goes on as before: it is answered at once, and looked at with others at the
-** loop's next turn. While the loop stands still (a disk that hangs) it waits like any
-** call, and turns to another instance in time. */
-static int is_in_no_hurry(const pw_control *c, const pw_api_call *call) {
+/* Whether a call is a plain heartbeat of a target that does not leave: it is
+** answered at once, and applied with others in the next iteration of the
+** loop. While the loop is stalled (a disk that hangs) the heartbeat waits
+** like any call, so that the target times out and turns to another instance. */
+static int is_plain_heartbeat(const pw_control *c, const pw_api_call *call) {
   return call->op == PW_API_BEAT && !call->beat.leaving &&
-         atomic_load(&c->is_heard) &&
-         pwclock_ms() - atomic_load(&c->turned_at) <= ALIVE_MS;
+         atomic_load(&c->is_connected) &&
+         pwclock_ms() - atomic_load(&c->iteration_at) <= STALL_MS;
 }
 
-static void take_later(pw_control *c, pw_http *h, pw_api_call *call) {
+static void answer_early(pw_control *c, pw_http *h, pw_api_call *call) {
   pwserve_reply(h, 200, "application/json", "{}", 2);
   pwapi_leave(call, c->mail);
 }
@@ -286,17 +293,18 @@
   pwapi_respond(call);
 }
 
-#define ASIDE_LINE_MS 1000
+#define UNUSABLE_LOG_MS 1000
 
-/* What a target, or another writer in its place, said that cannot be used: it changes nothing,
-** and others hold. One line a second at most. */
-static void note_set_aside(pw_control *c, const pw_http *h, pw_code rc,
-                           const char *message) {
-  int64_t now = pwclock_ms(), last = atomic_load(&c->aside_told_at);
+/* Counts and logs a heartbeat that cannot be used, from a target or from
+** another writer in its place. It changes nothing; other heartbeats still
+** count. At most one log line a second. */
+static void note_unusable_heartbeat(pw_control *c, const pw_http *h, pw_code rc,
+                                    const char *message) {
+  int64_t now = pwclock_ms(), logged_at = atomic_load(&c->unusable_logged_at);
   pwcount_add(c->p->counters,
               rc == PW_E_SCHEMA ? PWC_BEATS_ASIDE : PWC_BEATS_UNREADABLE, 1);
-  if (now - last < ASIDE_LINE_MS ||
-      !atomic_compare_exchange_strong(&c->aside_told_at, &last, now))
+  if (now - logged_at < UNUSABLE_LOG_MS ||
+      !atomic_compare_exchange_strong(&c->unusable_logged_at, &logged_at, now))
     return;
   pwlog(LOG_WARNING, "heartbeat-set-aside", "path=%.80s code=%d why=\"%s\"",
         pwserve_path(h), (int)rc, message);
@@ -312,15 +320,15 @@
     return;
   pw_api_call *call;
   char message[160] = "";
-  int of_target;
-  pw_code rc = pwsitecall_read(h, c->p->dialect, &call, &of_target, message,
+  int is_heartbeat;
+  pw_code rc = pwsitecall_read(h, c->p->dialect, &call, &is_heartbeat, message,
                                sizeof message);
-  if (rc != PW_OK && of_target)
-    note_set_aside(c, h, rc, message);
+  if (rc != PW_OK && is_heartbeat)
+    note_unusable_heartbeat(c, h, rc, message);
   if (rc == PW_E_PATH)
     rc = pwapi_read(h, c->operators, &call, message, sizeof message);
-  if (rc == PW_OK && is_in_no_hurry(c, call))
-    take_later(c, h, call);
+  if (rc == PW_OK && is_plain_heartbeat(c, call))
+    answer_early(c, h, call);
   else if (rc == PW_OK)
     pwapi_begin(call, h, c->mail);
   else
@@ -339,7 +347,7 @@
   size_t n;
   char *text = (char *)pwfile_read(path, &n);
   if (!text)
-    pwbuf_fmt(err, "%s: cannot be read\n", path);
+    pwbuf_fmt(err, "control.operators_file: %s cannot be read\n", path);
   return text;
 }
 
@@ -362,8 +370,8 @@
   return c->http ? 0 : -1;
 }
 
-/* Calls that wait, and those that were just posted, are answered before the server
-** stops. */
+/* Answers the calls that wait, and those that were just posted, before the
+** server stops. */
 static void end_calls(pw_control *c) {
   int64_t until = pwclock_ms() + END_CALLS_MS;
   atomic_store(&c->p->stopping, 1);
@@ -376,9 +384,9 @@
 }
 
 pw_code pwcontrol_run(pw_proc *p, pw_buf *err) {
-  pw_control c = {.p = p, .lag.turn_ms = TURN_MS};
+  pw_control c = {.p = p, .lag.turn_ms = ITERATION_MS};
   pw_code rc = PW_E_SETTINGS;
-  pw_group_calls calls = {&c, on_applied, on_led};
+  pw_group_calls calls = {&c, on_applied, on_leadership};
   c.mail = pwmail_new();
   c.dialler = pwwire_dialler(p->wire);
   c.listener = pwwire_listen(p->wire, p->set->control_wire, err);
--- a/packages/control/pwctl.h
+++ b/packages/control/pwctl.h
@@ -1,4 +1,5 @@
-/* pwctl.h: state of a control instance, for pwcontrol.c and pwctlcall.c alone. */
+/* pwctl.h: state of a control instance, shared by pwcontrol.c, pwctlcall.c
+** and pwrollcall.c. */
 #ifndef PWCTL_H
 #define PWCTL_H
 
@@ -17,19 +18,19 @@
 
 #include <uthash.h>
 
-/* Who waits for the entry at an index. */
+/* A request that waits until the log entry at an index is applied. */
 typedef struct pw_ctl_waiter {
   uint64_t index;
   uint64_t term;
   int64_t since;
-  pw_api_call *call; /* or NULL: */
-  pw_peer peer;      /* an entry that claims or records */
+  pw_api_call *call; /* NULL: a claim or record from an entry, see below */
+  pw_peer peer;      /* the entry that sent a claim or record */
   char id[PW_NAME_MAX];
   int is_record;
   UT_hash_handle hh;
 } pw_ctl_waiter;
 
-/* Who is to be told of changes. */
+/* A long poll: an API call answered at the next change of the resources. */
 typedef struct pw_ctl_watcher {
   pw_api_call *call;
   int64_t since;
@@ -52,46 +53,51 @@
   pw_publish *publish;
   pw_reads *reads;
   pw_busy busy;
-  uint64_t
-      planned; /* index of the change that the leader plans; 0: none is under way */
-  int plans_rollout; /* it is of a service */
-  int64_t planned_at;
+  /* log index of the planned change that was proposed; 0: none is in flight */
+  uint64_t plan_index;
+  /* the planned change is of a service rollout, not of a model */
+  int plan_is_rollout;
+  int64_t plan_at;
   pw_ctl_waiter *waiters;
-  pw_ctl_watcher *watchers;
+  pw_ctl_watcher *long_polls;
   char *operators;
-  uint64_t pushed;       /* revision the children were sent */
-  uint64_t led_revision; /* when leadership began */
-  int64_t led_at;
+  uint64_t pushed_revision; /* revision that was last sent to the children */
+  /* revision of the resources when leadership began */
+  uint64_t leader_since_revision;
+  int64_t leader_since;
   int64_t stop_at;
-  _Atomic int64_t turned_at;     /* when the loop came round last, ms */
-  pw_lag lag;                    /* of the loop */
-  _Atomic int is_heard;          /* what targets say here is told on */
-  _Atomic int64_t aside_told_at; /* a line of a heartbeat set aside, ms */
+  /* when the latest iteration of the loop began, ms */
+  _Atomic int64_t iteration_at;
+  pw_lag lag;               /* stalls of the event loop */
+  _Atomic int is_connected; /* heartbeats received here reach the group */
+  /* when an unusable heartbeat was logged last, ms */
+  _Atomic int64_t unusable_logged_at;
 } pw_control;
 
-/* What the group holds. */
+/* The resources as of the last log entry applied here. */
 const pw_res *pwctl_resources(const pw_control *c);
 
 /* --- pwctlcall.c --- */
 
-/* A call of an operator, or of the platform. */
+/* Handles an API call of an operator or of the platform. */
 void pwctl_call(pw_control *c, pw_api_call *call, int64_t now);
 
-/* An entry claims a request, or records its result. */
+/* Handles a claim of a request, or the record of its result, from an entry. */
 void pwctl_ledger(pw_control *c, const pw_peer *from, const Pw__Envelope *e,
                   int64_t now);
 
-/* An entry of the log was applied: whoever waits for it is answered. */
+/* A log entry was applied: answers the request that waits for it, if any. */
 void pwctl_applied(pw_control *c, const Pw__Entry *e, const Pw__Outcome *o,
                    Pw__Claimed *cl);
 
-/* Answers those who watch for changes, if there are any or they waited long. */
+/* Answers the long polls for which something changed, or that waited long
+** enough. */
 void pwctl_answer_watchers(pw_control *c, int64_t now);
 
-/* Gives up proposals that were not decided in time. */
+/* Fails the requests whose proposals were not decided in time. */
 void pwctl_expire(pw_control *c, int64_t now);
 
-/* Every call that waits gets its answer. */
+/* Fails all requests and calls that wait. */
 void pwctl_fail_all(pw_control *c);
 
 #endif
--- a/packages/control/pwctlcall.c
+++ b/packages/control/pwctlcall.c
@@ -1,4 +1,5 @@
-/* pwctlcall.c: calls to a control instance: reads, writes, and who waits for the log. */
+/* pwctlcall.c: API calls of a control instance: reads, writes, and requests
+** that wait for the log. */
 #include "pwctl.h"
 
 #include "pwlog.h"
@@ -9,20 +10,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_MS 10000  /* for a proposal to be decided */
-#define WATCH_MS 25000 /* a watch is answered by then, changed or not */
+#define WAIT_MS 10000      /* for a proposal to be decided */
+#define LONG_POLL_MS 25000 /* a long poll is answered by then, changed or not */
 #define NS_PER_US 1000
 
 const pw_res *pwctl_resources(const pw_control *c) {
   return pwstate_resources(pwgroup_state(c->group));
 }
 
-/* --- what is in force where --- */
+/* --- revisions in force --- */
 
-/* After a change of leader, children not yet heard again may still hold an
-** older revision until they have cut themselves off. */
+/* Whether the sum over the children can be trusted. After a change of
+** leader, children that have not reported yet may still serve an older
+** revision until they cut themselves off. */
 static int is_settled(const pw_control *c, int64_t now) {
-  return c->led_revision == 0 || now - c->led_at > PW_CHILD_KEEP;
+  return c->leader_since_revision == 0 || now - c->leader_since > PW_CHILD_KEEP;
 }
 
 static pw_feed_sum sum_up(const pw_control *c) {
@@ -93,7 +95,7 @@
                    "resources", list);
 }
 
-static void watch(pw_control *c, pw_api_call *call, int64_t now) {
+static void long_poll(pw_control *c, pw_api_call *call, int64_t now) {
   const pw_res *r = pwctl_resources(c);
   if (call->since < pwres_floor(r)) {
     pwapi_fail(call, PW_E_COMPACTED, "", "not-run", NULL);
@@ -104,16 +106,16 @@
     return;
   }
   pw_ctl_watcher *w = pw_alloc(sizeof *w);
-  *w = (pw_ctl_watcher){call, now, c->watchers};
-  c->watchers = w;
+  *w = (pw_ctl_watcher){call, now, c->long_polls};
+  c->long_polls = w;
 }
 
 void pwctl_answer_watchers(pw_control *c, int64_t now) {
-  pw_ctl_watcher **at = &c->watchers;
+  pw_ctl_watcher **at = &c->long_polls;
   while (*at) {
     pw_ctl_watcher *w = *at;
     int changed = pwres_revision(pwctl_resources(c)) > w->call->since;
-    if (!changed && now - w->since < WATCH_MS &&
+    if (!changed && now - w->since < LONG_POLL_MS &&
         !atomic_load(&c->p->stopping)) {
       at = &w->next;
       continue;
@@ -128,7 +130,7 @@
   if (call->op == PW_API_STATUS) {
     pwapi_answer(call, 200, status_json(c, now));
   } else if (call->op == PW_API_LIST && call->has_since) {
-    watch(c, call, now);
+    long_poll(c, call, now);
   } else if (call->op == PW_API_LIST) {
     pwapi_answer(call, 200, list_json(c, 0, 1));
   } else {
@@ -151,7 +153,7 @@
   w->term = term;
   w->since = now;
   HASH_FIND(hh, c->waiters, &index, sizeof index, old);
-  if (old) { /* of an earlier term: it was overwritten */
+  if (old) { /* an entry of an earlier term, which was overwritten */
     HASH_DEL(c->waiters, old);
     if (old->call)
       pwapi_fail(old->call, PW_E_NOT_LEADER, "", "not-run", NULL);
@@ -161,32 +163,33 @@
   return w;
 }
 
-/* Whether an availability zone may be evacuated: it is known. */
-static int is_zone(const pw_control *c, const char *name) {
-  const pw_list *zones = &c->p->set->control_zones;
-  for (int i = 0; i < zones->n; i++)
-    if (!strcmp(zones->item[i], name))
+/* Whether the name is that of a known availability zone. */
+static int is_known_availability_zone(const pw_control *c, const char *name) {
+  const pw_list *known = &c->p->set->control_zones;
+  for (int i = 0; i < known->n; i++)
+    if (!strcmp(known->item[i], name))
       return 1;
-  return zones->n == 0 || pwwatch_has_zone(c->watch, name);
+  return known->n == 0 || pwwatch_has_zone(c->watch, name);
 }
 
-static pw_code check_zones(const pw_control *c, const Pw__Change *ch) {
+static pw_code check_availability_zones(const pw_control *c,
+                                        const Pw__Change *ch) {
   for (size_t i = 0; i < ch->n_puts; i++) {
     const Pw__Put *p = ch->puts[i];
     if (!strcmp(p->kind, PW_KIND_EVACUATION) && !p->remove &&
-        !is_zone(c, p->name))
+        !is_known_availability_zone(c, p->name))
       return PW_E_ZONE;
   }
   return PW_OK;
 }
 
-static void change(pw_control *c, pw_api_call *call, int64_t now) {
+static void propose_change(pw_control *c, pw_api_call *call, int64_t now) {
   Pw__Command cmd = PW__COMMAND__INIT;
   cmd.wall = (uint64_t)pwclock_wall_ms();
   cmd.body_case = PW__COMMAND__BODY_CHANGE;
   cmd.change = call->change;
   uint64_t index, term;
-  pw_code rc = check_zones(c, call->change);
+  pw_code rc = check_availability_zones(c, call->change);
   if (rc == PW_OK)
     rc = pwgroup_propose(c->group, &cmd, &index, &term);
   if (rc == PW_OK)
@@ -195,16 +198,16 @@
     pwapi_fail(call, rc, "", "not-run", NULL);
 }
 
-/* One that is carried out already goes through the log, too: another order that undoes it may be
-** under way. */
-static void evacuate(pw_control *c, pw_api_call *call, int64_t now) {
+/* An evacuation that is in force already goes through the log, too: an order
+** that ends it may be in flight. */
+static void handle_evacuation(pw_control *c, pw_api_call *call, int64_t now) {
   if (pwgroup_lease(c->group, now))
-    change(c, call, now);
+    propose_change(c, call, now);
   else
     pwsitecall_to_leader(call, c->group);
 }
 
-static void to_leader(pw_control *c, pw_api_call *call) {
+static void redirect_to_leader(pw_control *c, pw_api_call *call) {
   if (call->dialect) {
     pwsitecall_to_leader(call, c->group);
     return;
@@ -214,25 +217,25 @@
   pwapi_fail(call, PW_E_NOT_LEADER, "", "not-run", NULL);
 }
 
-static void roll_out(pw_control *c, pw_api_call *call, int64_t now) {
+static void handle_rollout(pw_control *c, pw_api_call *call, int64_t now) {
   if (!pwgroup_lease(c->group, now)) {
-    to_leader(c, call);
+    redirect_to_leader(c, call);
   } else if (call->op == PW_API_ROLLOUT_READ) {
     pwrollcall_read(c, call);
   } else {
     call->change = pwrollcall_order(c, call);
     if (call->change)
-      change(c, call, now);
+      propose_change(c, call, now);
   }
 }
 
 void pwctl_call(pw_control *c, pw_api_call *call, int64_t now) {
   if (call->op == PW_API_EVACUATE) {
-    evacuate(c, call, now);
+    handle_evacuation(c, call, now);
     return;
   }
   if (call->op == PW_API_ROLLOUT || call->op == PW_API_ROLLOUT_READ) {
-    roll_out(c, call, now);
+    handle_rollout(c, call, now);
     return;
   }
   if (call->op >= PW_API_SITE_READ) {
@@ -241,9 +244,9 @@
     return;
   }
   if (!pwgroup_lease(c->group, now)) {
-    to_leader(c, call);
+    redirect_to_leader(c, call);
   } else if (call->op == PW_API_CHANGE) {
-    change(c, call, now);
+    propose_change(c, call, now);
   } else {
     read_call(c, call, now);
   }
@@ -280,7 +283,7 @@
   send_claimed(c, from, &cl);
 }
 
-/* --- who waits --- */
+/* --- answers after the log --- */
 
 static json_t *outcome_json(const Pw__Outcome *o) {
   json_t *list = json_array();
@@ -294,9 +297,9 @@
                           const Pw__Outcome *o) {
   pwcount_observe(c->p->counters, PWH_ACCEPT,
                   (pwclock_ns() - call->started) / NS_PER_US);
-  /* Another operator was first: what was asked for is so. */
-  int is_so = call->op == PW_API_EVACUATE && o->code == PW_E_NOT_FOUND;
-  if (o->code == PW_OK || is_so) {
+  /* Another operator ended it first; the result is the same. */
+  int is_done = call->op == PW_API_EVACUATE && o->code == PW_E_NOT_FOUND;
+  if (o->code == PW_OK || is_done) {
     pwcount_add(c->p->counters, PWC_CHANGES, o->code == PW_OK);
     if (call->op == PW_API_ROLLOUT)
       pwrollcall_taken(call);
@@ -310,19 +313,19 @@
 
 static void answer_waiter(pw_control *c, pw_ctl_waiter *w, const Pw__Entry *e,
                           const Pw__Outcome *o, Pw__Claimed *cl) {
-  int ours = e->term == w->term;
+  int is_same_entry = e->term == w->term;
   if (w->call) {
-    if (ours && o)
+    if (is_same_entry && o)
       answer_change(c, w->call, o);
     else
       pwapi_fail(w->call, PW_E_NOT_LEADER, "", "not-run", NULL);
     return;
   }
-  Pw__Claimed plain = PW__CLAIMED__INIT;
-  plain.id = w->id;
-  plain.code = ours ? PW_OK : PW_E_NOT_LEADER;
-  plain.recorded = w->is_record;
-  send_claimed(c, &w->peer, ours && cl ? cl : &plain);
+  Pw__Claimed reply = PW__CLAIMED__INIT;
+  reply.id = w->id;
+  reply.code = is_same_entry ? PW_OK : PW_E_NOT_LEADER;
+  reply.recorded = w->is_record;
+  send_claimed(c, &w->peer, is_same_entry && cl ? cl : &reply);
 }
 
 void pwctl_applied(pw_control *c, const Pw__Entry *e, const Pw__Outcome *o,
@@ -337,7 +340,7 @@
   free(w);
 }
 
-/* Proposals not decided in time: what became of them is not known. */
+/* The outcome of a proposal that was not decided in time is not known. */
 void pwctl_expire(pw_control *c, int64_t now) {
   pw_ctl_waiter *w, *tmp;
   HASH_ITER(hh, c->waiters, w, tmp) {
