--- a/packages/control/pwoutbox.c
+++ b/packages/control/pwoutbox.c
@@ -1,4 +1,5 @@
-/* pwoutbox.c: news of targets that wait to be told to one kind of watcher. */
+/* pwoutbox.c: updates on targets that wait to be sent to one kind of
+** watcher. */
 #include "pwoutbox.h"
 
 #include "pwbuf.h"
@@ -7,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ITEMS_MAX 2048 /* more are told as one table */
-#define ITEMS_FIRST 64
+#define ITEMS_MAX 2048 /* beyond this one table of all targets is cheaper */
+#define ITEMS_INITIAL 64
 
 void pwoutbox_free(pw_outbox *o) {
   free(o->item);
@@ -16,59 +17,60 @@
 }
 
 static void grow(pw_outbox *o) {
-  o->cap = o->cap ? 2 * o->cap : ITEMS_FIRST;
+  o->cap = o->cap ? 2 * o->cap : ITEMS_INITIAL;
   o->item = realloc(o->item, sizeof *o->item * o->cap);
   if (!o->item)
     abort();
 }
 
 int pwoutbox_add(pw_outbox *o, const pw_tidings *t) {
-  int is_over = o->n == ITEMS_MAX;
-  if (is_over)
+  int is_full = o->n == ITEMS_MAX;
+  if (is_full)
     o->n = 0;
   if (o->n == o->cap)
     grow(o);
   o->item[o->n++] = *t;
-  if (!o->urgent_at && (t->is_change || t->gone || t->beat.leaving))
-    o->urgent_at = t->heard_at;
-  return is_over ? -1 : 0;
+  if (!o->change_at && (t->is_change || t->gone || t->beat.leaving))
+    o->change_at = t->received_at;
+  return is_full ? -1 : 0;
 }
 
-int pwoutbox_is_due(const pw_outbox *o, int64_t gather, int64_t renew,
+int pwoutbox_is_due(const pw_outbox *o, int64_t batch_ms, int64_t renewal_ms,
                     int64_t now) {
-  int64_t since = now - o->told_at;
-  return since >= renew || (o->urgent_at && since >= gather);
+  int64_t since = now - o->sent_at;
+  return since >= renewal_ms || (o->change_at && since >= batch_ms);
 }
 
 void pwoutbox_told(pw_outbox *o, int64_t now) {
   o->n = 0;
-  o->urgent_at = 0;
-  o->told_at = now;
+  o->change_at = 0;
+  o->sent_at = now;
 }
 
 void pwbundle_make(pw_bundle *b, const pw_outbox *o,
                    int (*concerns)(const pw_tidings *t), int64_t now) {
   *b = (pw_bundle){.notice = PW__NOTICE__INIT};
   b->beat = pw_alloc(sizeof *b->beat * (o->n + 1));
-  b->at = pw_alloc(sizeof *b->at * (o->n + 1));
+  b->beat_ptr = pw_alloc(sizeof *b->beat_ptr * (o->n + 1));
   for (size_t i = 0; i < o->n; i++) {
     const pw_tidings *t = &o->item[i];
-    int64_t age = now - t->heard_at;
+    int64_t age = now - t->received_at;
     if (!concerns(t))
       continue;
     Pw__Beat *beat = &b->beat[b->n];
     if (t->is_change || t->gone ||
-        t->beat.leaving) /* may overtake the change */
+        /* a renewal may arrive before the change that it follows */
+        t->beat.leaving)
       pwtable_pack(beat, &t->beat, t->gone, t->silent, age);
     else
       pwtable_pack_renewal(beat, &t->beat, age);
-    b->at[b->n++] = beat;
+    b->beat_ptr[b->n++] = beat;
   }
-  pwtable_put(b->at, b->n, &b->notice);
+  pwtable_put(b->beat_ptr, b->n, &b->notice);
 }
 
 void pwbundle_free(pw_bundle *b) {
   free(b->notice.table.data);
-  free(b->at);
+  free(b->beat_ptr);
   free(b->beat);
 }
--- a/packages/control/pwoutbox.h
+++ b/packages/control/pwoutbox.h
@@ -1,4 +1,5 @@
-/* pwoutbox.h: news of targets that wait to be told to one kind of watcher. */
+/* pwoutbox.h: updates on targets that wait to be sent to one kind of
+** watcher. */
 #ifndef PWOUTBOX_H
 #define PWOUTBOX_H
 
@@ -8,43 +9,46 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What was heard of a target. */
+/* An update on one target, from its heartbeat or for the lack of one. */
 typedef struct pw_tidings {
   pw_beat beat;
   int gone, silent;
-  int is_change; /* else: it was heard again, as before */
-  int is_own;    /* heard here, not told by another control instance */
-  int64_t heard_at;
+  int is_change; /* 0: a renewal, which changes nothing but the time */
+  /* received from the target itself, not from another control instance */
+  int is_own;
+  int64_t received_at;
 } pw_tidings;
 
 typedef struct pw_outbox {
   pw_tidings *item;
   size_t n, cap;
-  int64_t urgent_at; /* when the oldest change came; 0: there is none */
-  int64_t told_at;
+  int64_t change_at; /* when the oldest change that waits came; 0: none waits */
+  int64_t sent_at;
 } pw_outbox;
 
 void pwoutbox_free(pw_outbox *o);
 
-/* -1: it is full, and what waited is dropped: its watchers are to be told all. */
+/* Queues an update. -1: the outbox was full and all that waited is dropped;
+** its watchers must be sent everything. */
 int pwoutbox_add(pw_outbox *o, const pw_tidings *t);
 
-/* Whether it is to be told: a change after `gather`, all else after `renew`, ms. */
-int pwoutbox_is_due(const pw_outbox *o, int64_t gather, int64_t renew,
+/* Whether the updates are due: `batch_ms` after the last sending if there
+** is a change, else `renewal_ms` after it. */
+int pwoutbox_is_due(const pw_outbox *o, int64_t batch_ms, int64_t renewal_ms,
                     int64_t now);
 
-/* It was told. */
+/* Empties the outbox after its updates were sent. */
 void pwoutbox_told(pw_outbox *o, int64_t now);
 
-/* What one audience is told, made once for all of it. */
+/* The updates for one audience as a Notice, built once for all its watchers. */
 typedef struct pw_bundle {
   Pw__Notice notice;
   Pw__Beat *beat;
-  Pw__Beat **at;
+  Pw__Beat **beat_ptr;
   size_t n;
 } pw_bundle;
 
-/* The items that concern its audience; freed with pwbundle_free. */
+/* Packs the updates for which `concerns` holds; freed with pwbundle_free. */
 void pwbundle_make(pw_bundle *b, const pw_outbox *o,
                    int (*concerns)(const pw_tidings *t), int64_t now);
 void pwbundle_free(pw_bundle *b);
--- a/packages/control/pwpeers.c
+++ b/packages/control/pwpeers.c
@@ -1,4 +1,4 @@
-/* pwpeers.c: this instance's links to other control instances. */
+/* pwpeers.c: links of this instance to other control instances. */
 #include "pwpeers.h"
 
 #include "pwbuf.h"
@@ -7,17 +7,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WATCH_MS 500 /* others are told so often that this one is there */
+#define WATCH_MS 500 /* interval of Watch messages to other control instances */
 
-/* Of whom something is missing is asked for everything; once more when that has not come
-** so long after, ms. */
-#define ASK_ALL_MS 2000
+/* An instance of which updates are missing is asked for everything, and
+** again when that has not arrived so long after, ms. */
+#define REQUEST_ALL_MS 2000
 
 typedef struct link {
   char addr[PW_NAME_MAX];
   pw_peer peer;
-  int must_ask_all;
-  int64_t asked_all_at;
+  int must_request_all;
+  int64_t requested_all_at;
   struct link *next;
 } link;
 
@@ -26,7 +26,7 @@
   pw_sock *dialler;
   link *links;
   pw_mesh mesh;
-  int is_full; /* no more of them may be known: a line was written */
+  int is_limit_logged; /* the limit of known instances was reached, and logged */
 };
 
 pw_peers *pwpeers_new(pw_proc *p, pw_sock *dialler) {
@@ -91,11 +91,11 @@
   p->asked_at = now;
 }
 
-static void note_full(pw_peers *o, const char *addr) {
-  if (!o->is_full)
+static void log_limit(pw_peers *o, const char *addr) {
+  if (!o->is_limit_logged)
     pwlog(LOG_ERR, "too-many-control-instances", "code=%d most=%d left_out=%s",
           (int)PW_E_TOO_MANY, PW_CONTROL_MAX, addr);
-  o->is_full = 1;
+  o->is_limit_logged = 1;
 }
 
 void pwpeers_watched(pw_peers *o, const Pw__Watch *m, int64_t now) {
@@ -103,7 +103,7 @@
     return;
   pw_mesh_peer *p = pwmesh_watched(&o->mesh, m->control, m->primary, now);
   if (!p && strcmp(m->control, o->mesh.self) != 0)
-    note_full(o, m->control);
+    log_limit(o, m->control);
   if (p && m->holds_of == pwwire_incarnation(o->p->wire))
     p->holds = m->holds;
 }
@@ -115,10 +115,10 @@
   const Pw__Notice *n = e->notice;
   if (!p || pwmesh_watch_of(&o->mesh, p) != PWMESH_FOR_ALL)
     return;
-  int was_whole = p->told.is_whole;
+  int was_complete = p->told.is_whole;
   pwtelling_take(&p->told, e->incarnation, n->number,
                  n->n_beats || n->table_size, n->full);
-  if (was_whole && !p->told.is_whole) {
+  if (was_complete && !p->told.is_whole) {
     pwcount_add(o->p->counters, PWC_TELLINGS_LOST, 1);
     pwlog(LOG_NOTICE, "telling-lost", "control=%s number=%llu", p->addr,
           (unsigned long long)n->number);
@@ -130,17 +130,19 @@
 void pwpeers_ask_all(pw_peers *o, const pw_peer *from) {
   link *one = link_from(o, from);
   if (one)
-    one->must_ask_all = 1;
+    one->must_request_all = 1;
 }
 
-/* Who begins to watch for all is told all: one that does so already ends that first. */
-static void ask_missing(pw_peers *o, pw_mesh_peer *p, int64_t now) {
+/* A watcher that begins to watch for all targets is sent the table of all of
+** them. An instance that watches for all already ends that with the first
+** message and begins anew with the second. */
+static void request_missing(pw_peers *o, pw_mesh_peer *p, int64_t now) {
   link *one = link_of(o, p->addr);
-  int is_missing = one->must_ask_all || !p->told.is_whole;
-  if (!is_missing || now - one->asked_all_at < ASK_ALL_MS)
+  int is_missing = one->must_request_all || !p->told.is_whole;
+  if (!is_missing || now - one->requested_all_at < REQUEST_ALL_MS)
     return;
-  one->asked_all_at = now;
-  one->must_ask_all = 0;
+  one->requested_all_at = now;
+  one->must_request_all = 0;
   send_watch(o, p, 0, now);
   send_watch(o, p, 1, now);
 }
@@ -149,11 +151,13 @@
   pwmesh_tick(&o->mesh, now);
   for (int i = 0; i < o->mesh.n; i++) {
     pw_mesh_peer *p = o->mesh.peer[i];
-    pw_mesh_watch how = pwmesh_watch_of(&o->mesh, p);
-    /* Not held up by what is sent meanwhile: a target that leaves is confirmed at each heartbeat. */
-    if (how == PWMESH_FOR_ALL)
-      ask_missing(o, p, now);
-    if (how != PWMESH_NOT && now - p->asked_at >= WATCH_MS)
-      send_watch(o, p, how == PWMESH_FOR_ALL, now);
+    pw_mesh_watch watch = pwmesh_watch_of(&o->mesh, p);
+    /* The request for missing updates has a timer of its own: each heartbeat
+    ** of a target that leaves is confirmed with a Watch, and a shared timer
+    ** would put the request off each time. */
+    if (watch == PWMESH_FOR_ALL)
+      request_missing(o, p, now);
+    if (watch != PWMESH_NOT && now - p->asked_at >= WATCH_MS)
+      send_watch(o, p, watch == PWMESH_FOR_ALL, now);
   }
 }
--- a/packages/control/pwpeers.h
+++ b/packages/control/pwpeers.h
@@ -1,5 +1,5 @@
-/* pwpeers.h: this instance's links to other control instances: whom it watches, and
-** whether all has come that they told. */
+/* pwpeers.h: links of this instance to other control instances: which of
+** them it watches, and whether all their updates have arrived. */
 #ifndef PWPEERS_H
 #define PWPEERS_H
 
@@ -8,23 +8,25 @@
 
 typedef struct pw_peers pw_peers;
 
-/* Others are reached through `dialler`. */
+/* Other control instances are reached through `dialler`. */
 pw_peers *pwpeers_new(pw_proc *p, pw_sock *dialler);
 void pwpeers_free(pw_peers *o);
 
 pw_mesh *pwpeers_mesh(pw_peers *o);
 
-/* A Watch of another control instance came. */
+/* Handles a Watch message of another control instance. */
 void pwpeers_watched(pw_peers *o, const Pw__Watch *m, int64_t now);
 
-/* A Notice of another one has been taken in. */
+/* Checks a Notice of another control instance for a gap in the numbers of
+** its updates. */
 void pwpeers_told(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
                   int64_t now);
 
-/* It told of a target that is not known here, as after a long pause. */
+/* Requests everything from an instance that sent a renewal of a target
+** unknown here, as after a long stall. */
 void pwpeers_ask_all(pw_peers *o, const pw_peer *from);
 
-/* Watches whom it is time to watch. */
+/* Sends the Watch messages that are due. */
 void pwpeers_tick(pw_peers *o, int64_t now);
 
 #endif
--- a/packages/control/pwwatch.c
+++ b/packages/control/pwwatch.c
@@ -1,4 +1,5 @@
-/* pwwatch.c: those who watch a control instance. */
+/* pwwatch.c: keeps the watchers of a control instance, and sends them
+** Notices of what changed. */
 #include "pwwatch.h"
 
 #include "pwbuf.h"
@@ -16,40 +17,47 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Heartbeats that change nothing are passed on together, ms. */
-#define RENEW_MS 250
+/* Heartbeats that change nothing are forwarded together after so long, ms. */
+#define RENEWAL_MS 250
 
-/* Watchers hear something at least so often, and say that they are there; the
-** more there are the rarer, so that what a control instance sends and takes
-** stays bounded; ms. */
+/* Each watcher receives a Notice at least so often, and sends a Watch as
+** often. The interval grows with the number of watchers, which bounds the
+** traffic of a control instance; ms. */
 #define NOTICE_MS 500
-#define NOTICE_MS_A_WATCHER 10
+#define NOTICE_MS_PER_WATCHER 10
 
-/* A watcher that says nothing for so many of these times is gone. */
-#define LOST_TIMES 5
+/* A watcher that has sent nothing for so many of these intervals is dropped. */
+#define LOST_NOTICES 5
 
-/* Those that rely on this instance are told of other gateways when there are more
-** or fewer, so long after they were told last, ms. */
+/* Gateways that rely on this instance receive the list of gateways when it
+** changed, but no sooner after the one before than LIST_MS and
+** LIST_MS_PER_WATCHER for each watcher. */
 #define LIST_MS 1000
-#define LIST_MS_A_WATCHER 20
+#define LIST_MS_PER_WATCHER 20
 
-/* Other control instances are told of changes within so long together, ms. */
-#define GATHER_MS 30
+/* Changes for other control instances are collected for so long and sent
+** together, ms. */
+#define CONTROL_BATCH_MS 30
 
-#define TABLE_MS 300 /* a table is told so long before it is made anew */
+/* a table of all targets is sent to others for so long before it is built
+** anew */
+#define TABLE_REUSE_MS 300
 
 typedef struct watcher {
   pw_peer peer;
   uint64_t incarnation;
-  char gossip[PW_NAME_MAX];  /* "": another control instance ... */
-  char control[PW_NAME_MAX]; /* ... at this address */
-  int is_primary;            /* it relies on this one for all of the targets */
-  int is_lost;               /* a message to it was dropped */
-  int64_t asked_at; /* when it asked for all targets; 0: it need not be told */
-  int64_t heard_at, told_at, listed_at;
-  uint64_t told_site;
-  uint64_t told_revision; /* of the evacuated availability zones */
-  int64_t suspects_at;    /* when it was told of requests in quarantine */
+  /* wire address for gossip; "": this is not a gateway */
+  char gossip[PW_NAME_MAX];
+  /* address of a control instance; "": this is a gateway */
+  char control[PW_NAME_MAX];
+  int is_primary; /* it relies on this instance for all targets */
+  int is_lost;    /* a Notice to it was dropped: it must register again */
+  /* when it asked for the table of all targets; 0: it does not wait for one */
+  int64_t table_asked_at;
+  int64_t received_at, notified_at, lists_sent_at;
+  uint64_t announced_site;
+  uint64_t announced_revision; /* of the evacuated availability zones */
+  int64_t suspects_sent_at; /* when it was sent the quarantined fingerprints */
   struct watcher *next;
 } watcher;
 
@@ -64,23 +72,27 @@
   watcher *watchers;
   int nwatchers;
   pw_peers *peers;
-  pw_mesh *mesh; /* of peers */
+  pw_mesh *mesh; /* links to other control instances */
   pw_outbox to_control, to_gateways;
-  int64_t
-      versions_at; /* when gateways were told of configurations and the like, ms */
-  uint64_t number; /* of the last news that control instances were told */
-  int confirm; /* a call waits until another instance has what is told next */
-  int64_t changed_at;        /* when the set of gateways changed last, ms */
-  pw_quarantine *quarantine; /* as gateways told: for those that start anew */
-  size_t listed;             /* of it, in the next notice */
-  pw_hand *hand;
-  pw_pace bulk;     /* tables and documents */
-  Pw__Notice table; /* of all targets, as told last */
-  int64_t table_at;
-  int is_unheard;
-  uint64_t table_number; /* what of its own news is in the table */
-  int in_touch;          /* a leader was heard just now */
-  int leads;             /* this instance leads */
+  /* when newer versions were last announced to gateways, ms */
+  int64_t versions_sent_at;
+  uint64_t last_number; /* number of the last update to control instances */
+  /* a call waits until another instance confirms the next update */
+  int must_confirm;
+  int64_t gateways_changed_at; /* when a gateway came or went last, ms */
+  /* as gateways reported it; sent to those that start anew */
+  pw_quarantine *quarantine;
+  /* where in the quarantine the next list of suspects begins */
+  size_t next_suspect;
+  pw_hand *docsend;
+  pw_pace bulk_pace; /* rate of tables and documents */
+  Pw__Notice table;  /* the table of all targets that was built last */
+  int64_t table_built_at;
+  int is_isolated;
+  /* number of the last own update that is in the table */
+  uint64_t table_number;
+  int in_touch; /* there is contact with a leader */
+  int leads;
 };
 
 pw_watch *pwwatch_new(pw_proc *p, pw_sock *listener, pw_sock *dialler,
@@ -93,8 +105,8 @@
   w->doc = doc;
   w->resources = resources;
   w->quarantine = pwquar_new();
-  w->hand = pwhand_new(listener, doc);
-  w->bulk = pwpace_of(p->set->control_link);
+  w->docsend = pwhand_new(listener, doc);
+  w->bulk_pace = pwpace_of(p->set->control_link);
   w->targets = pwfleet_new(p->set->availability_zone, p->set->control_beat, 0);
   return w;
 }
@@ -111,7 +123,7 @@
   pwoutbox_free(&w->to_control);
   pwoutbox_free(&w->to_gateways);
   pwquar_free(w->quarantine);
-  pwhand_free(w->hand);
+  pwhand_free(w->docsend);
   pwfleet_free(w->targets);
   pwzones_free(&w->evacuated);
   pwrolltold_free(&w->rollouts);
@@ -119,14 +131,15 @@
   free(w);
 }
 
-static int64_t notice_ms(const pw_watch *w) {
-  int64_t ms = NOTICE_MS_A_WATCHER * (int64_t)w->nwatchers;
+static int64_t notice_interval_ms(const pw_watch *w) {
+  int64_t ms = NOTICE_MS_PER_WATCHER * (int64_t)w->nwatchers;
   return ms > NOTICE_MS ? ms : NOTICE_MS;
 }
 
-/* --- messages to watchers --- */
+/* --- notices --- */
 
-/* Gateways rely on members of the group, which know all targets. */
+/* Adds the control instances that are members of the group, since only
+** members know all targets; and the gateways, if asked for. */
 static void add_lists(pw_watch *w, Pw__Notice *n, int with_gateways) {
   const pw_mesh *m = w->mesh;
   n->control = pw_alloc(sizeof(char *) * (size_t)(m->n + 1));
@@ -143,41 +156,43 @@
       n->gateways[n->n_gateways++] = one->gossip;
 }
 
-/* Between two lists for one watcher. */
-static int64_t list_pause_ms(const pw_watch *w) {
-  return LIST_MS + LIST_MS_A_WATCHER * (int64_t)w->nwatchers;
+/* Interval between two lists for one watcher. */
+static int64_t list_interval_ms(const pw_watch *w) {
+  return LIST_MS + LIST_MS_PER_WATCHER * (int64_t)w->nwatchers;
 }
 
 static int list_is_due(const pw_watch *w, const watcher *to, int64_t now) {
-  return !to->listed_at || (to->listed_at <= w->changed_at &&
-                            now - to->listed_at >= list_pause_ms(w));
+  return !to->lists_sent_at || (to->lists_sent_at <= w->gateways_changed_at &&
+                                now - to->lists_sent_at >= list_interval_ms(w));
 }
 
 static int suspects_are_due(const pw_watch *w, const watcher *to, int64_t now) {
-  return !to->suspects_at || now - to->suspects_at >= list_pause_ms(w);
+  return !to->suspects_sent_at ||
+         now - to->suspects_sent_at >= list_interval_ms(w);
 }
 
 static void add_suspects(pw_watch *w, watcher *to, pw_suspects *s,
                          Pw__Notice *n, int64_t now) {
-  n->n_suspects = pwsuspects_list(s, w->quarantine, &w->listed, now);
+  n->n_suspects = pwsuspects_list(s, w->quarantine, &w->next_suspect, now);
   n->suspects = s->list;
-  to->suspects_at = now;
+  to->suspects_sent_at = now;
 }
 
-static void hear_suspect(void *arg, uint64_t sign, pw_quar_news what) {
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news what) {
   const pw_watch *w = arg;
   if (what == PWQUAR_BEGUN || what == PWQUAR_RELEASED)
     pwlog(LOG_WARNING, what == PWQUAR_BEGUN ? "quarantined" : "released",
-          "sign=%016llx in_quarantine=%d", (unsigned long long)sign,
+          "sign=%016llx in_quarantine=%d", (unsigned long long)fingerprint,
           pwquar_count(w->quarantine));
 }
 
-/* Sends a notice whose heartbeats the caller has filled in. */
-static void tell(pw_watch *w, watcher *to, Pw__Notice *n, int64_t now) {
+/* Completes a notice, in which the caller has filled in the heartbeats, and
+** sends it. */
+static void send_notice(pw_watch *w, watcher *to, Pw__Notice *n, int64_t now) {
   n->site = pwdoc_version(w->doc);
   n->in_touch = w->in_touch;
-  n->watch_ms = (uint32_t)notice_ms(w);
-  n->number = to->gossip[0] ? 0 : n->full ? w->table_number : w->number;
+  n->watch_ms = (uint32_t)notice_interval_ms(w);
+  n->number = to->gossip[0] ? 0 : n->full ? w->table_number : w->last_number;
   n->revision = w->evacuated.revision;
   n->evacuated = w->evacuated.name;
   n->n_evacuated = w->evacuated.n;
@@ -186,91 +201,96 @@
   n->leads = w->leads;
   if (list_is_due(w, to, now)) {
     add_lists(w, n, to->is_primary && to->gossip[0]);
-    to->listed_at = now;
+    to->lists_sent_at = now;
   }
   pw_suspects suspects;
   if (suspects_are_due(w, to, now))
     add_suspects(w, to, &suspects, n, now);
   Pw__Envelope e = PW_ENVELOPE(NOTICE, notice, n);
   if (pwwire_send(w->listener, &to->peer, &e) != 0)
-    to->is_lost = 1; /* it comes again, and is told all */
+    to->is_lost = 1; /* it registers again, and receives everything */
   n->suspects = NULL;
   n->n_suspects = 0;
   free(n->control);
   free(n->gateways);
-  to->told_at = now;
-  to->told_site = n->site;
-  to->told_revision = n->revision;
+  to->notified_at = now;
+  to->announced_site = n->site;
+  to->announced_revision = n->revision;
 }
 
-/* Many who wait are told the same table: one that was made after they had asked. What
-** has changed since then they were told besides, and what is older changes nothing. */
-static void refresh_table(pw_watch *w, int64_t asked_at, int64_t now) {
-  if (w->table_at > asked_at && now - w->table_at < TABLE_MS)
+/* One table serves many watchers, if it was built after the watcher had
+** asked. Changes since then are sent to the watcher as updates; older
+** updates in the table change nothing there. */
+static void refresh_table(pw_watch *w, int64_t table_asked_at, int64_t now) {
+  if (w->table_built_at > table_asked_at &&
+      now - w->table_built_at < TABLE_REUSE_MS)
     return;
   free(w->table.table.data);
   w->table = (Pw__Notice)PW__NOTICE__INIT;
   pwtable_write(w->targets, now, &w->table);
-  w->table_at = now;
-  w->table_number = w->number;
+  w->table_built_at = now;
+  w->table_number = w->last_number;
 }
 
-static void tell_all_targets(pw_watch *w, watcher *to, int64_t now) {
+static void send_table(pw_watch *w, watcher *to, int64_t now) {
   Pw__Notice n = PW__NOTICE__INIT;
-  refresh_table(w, to->asked_at, now);
+  refresh_table(w, to->table_asked_at, now);
   n.table = w->table.table;
   n.table_size = w->table.table_size;
   n.full = 1;
-  to->listed_at = 0;
-  to->asked_at = 0;
-  tell(w, to, &n, now);
-  pwpace_take(&w->bulk, n.table.len, now);
+  to->lists_sent_at = 0;
+  to->table_asked_at = 0;
+  send_notice(w, to, &n, now);
+  pwpace_take(&w->bulk_pace, n.table.len, now);
   pwcount_add(w->p->counters, PWC_TABLES_TOLD, 1);
   pwcount_add(w->p->counters, PWC_TABLES_BYTES, (int64_t)n.table.len);
 }
 
-/* The first that waits: control instances before gateways, then in turn. */
-static watcher *first_waiting(const pw_watch *w) {
+/* The watcher whose table is next: control instances before gateways, then
+** in the order of asking. */
+static watcher *next_for_table(const pw_watch *w) {
   watcher *best = NULL;
   for (watcher *one = w->watchers; one; one = one->next)
-    if (one->asked_at && (!best || !one->gossip[0] || best->gossip[0]))
-      best = one; /* later ones came earlier */
+    if (one->table_asked_at && (!best || !one->gossip[0] || best->gossip[0]))
+      best = one; /* the list has the newest watchers first */
   return best;
 }
 
-/* Tables of a large fleet are many times what the link carries in a second: sent
-** all at once they would hold up everything else, so they take their share. */
-static void tell_tables(pw_watch *w, int64_t now) {
-  while (pwpace_has_room(&w->bulk, now)) {
-    watcher *to = first_waiting(w);
+/* The tables of a large fleet are many times what the link carries in a
+** second. Sent at once they would delay everything else, so they are limited
+** to a share of the link. */
+static void send_tables(pw_watch *w, int64_t now) {
+  while (pwpace_has_room(&w->bulk_pace, now)) {
+    watcher *to = next_for_table(w);
     if (!to)
       return;
-    tell_all_targets(w, to, now);
+    send_table(w, to, now);
   }
 }
 
-/* --- news --- */
+/* --- changes of targets --- */
 
-/* They are told all, as if they were new. */
-static void lose_watchers(pw_watch *w, int of_control) {
+/* Marks all gateways or all control instances as lost: they register again
+** and receive everything. */
+static void mark_lost(pw_watch *w, int of_control) {
   for (watcher *one = w->watchers; one; one = one->next)
     if ((one->gossip[0] == 0) == of_control)
       one->is_lost = 1;
 }
 
-static void tell_control(pw_watch *w, const pw_tidings *t) {
+static void queue_for_control(pw_watch *w, const pw_tidings *t) {
   if (pwoutbox_add(&w->to_control, t) != 0)
-    lose_watchers(w, 1);
+    mark_lost(w, 1);
 }
 
-static void note_news(pw_watch *w, const pw_beat *b, pw_fleet_news what,
-                      int is_own, int64_t heard_at) {
+static void note_change(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+                        int is_own, int64_t received_at) {
   pw_tidings t = {.beat = *b,
                   .gone = what == PWFLEET_GONE,
                   .silent = what == PWFLEET_SILENT,
                   .is_change = what > PWFLEET_RENEWED,
                   .is_own = is_own,
-                  .heard_at = heard_at};
+                  .received_at = received_at};
   if (what == PWFLEET_RESTARTED)
     pwcount_add(w->p->counters, PWC_RESTARTS, 1);
   if (t.is_change)
@@ -278,57 +298,60 @@
           "target=%s born=%llu service=%s address=%s", b->id,
           (unsigned long long)b->born, b->service, b->address);
   if (is_own)
-    tell_control(w, &t);
+    queue_for_control(w, &t);
   if (t.is_change && pwoutbox_add(&w->to_gateways, &t) != 0)
-    lose_watchers(w, 0);
+    mark_lost(w, 0);
 }
 
-/* Whether another control instance is there to have what is heard here. */
-static int has_audience(const pw_watch *w) {
+/* Whether another control instance receives the updates of this one. */
+static int has_control_watcher(const pw_watch *w) {
   for (const watcher *one = w->watchers; one; one = one->next)
     if (!one->gossip[0] && one->is_primary)
       return 1;
   return 0;
 }
 
-/* What another instance has told of a target's end: it may itself end before all have it. */
-static void pass_on(pw_watch *w, const pw_beat *b, pw_fleet_news what,
-                    int64_t heard_at) {
+/* Forwards another instance's update that a target leaves or has gone: that
+** instance may stop before all have received it. */
+static void forward_end(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+                        int64_t received_at) {
   pw_tidings t = {.beat = *b,
                   .gone = what == PWFLEET_GONE,
                   .is_change = 1,
-                  .heard_at = heard_at};
+                  .received_at = received_at};
   if (w->mesh->is_member)
-    tell_control(w, &t);
+    queue_for_control(w, &t);
 }
 
-/* Which start it is that ends, where the target does not say: a member of the group knows. */
-static uint64_t start_that_ends(const pw_watch *w, const pw_beat *b) {
+/* The incarnation that ends. Where the target does not name it, a member of
+** the group takes the one that it knows. */
+static uint64_t ended_incarnation(const pw_watch *w, const pw_beat *b) {
   return b->born || !w->mesh->is_member ? b->born
                                         : pwfleet_find(w->targets, b->id)->born;
 }
 
-/* That a target ends is told each time that it says so: the time before may have been lost. */
-static void note_gone(pw_watch *w, const pw_beat *b, pw_fleet_news what,
-                      int64_t now) {
-  pw_tidings t = {.beat = *b, .gone = 1, .is_own = 1, .heard_at = now};
-  t.beat.born = start_that_ends(w, b);
+/* Sends the end of a target each time that the target reports it, since the
+** update before may have been lost. */
+static void note_end(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+                     int64_t now) {
+  pw_tidings t = {.beat = *b, .gone = 1, .is_own = 1, .received_at = now};
+  t.beat.born = ended_incarnation(w, b);
   if (what == PWFLEET_OLD)
-    tell_control(w, &t);
+    queue_for_control(w, &t);
   else
-    note_news(w, &t.beat, what, 1, now);
+    note_change(w, &t.beat, what, 1, now);
 }
 
 uint64_t pwwatch_beat(pw_watch *w, const pw_beat *b, int gone, int64_t now) {
   pw_fleet_news what = pwfleet_beat(w->targets, b, gone, now);
   if (gone)
-    note_gone(w, b, what, now);
+    note_end(w, b, what, now);
   else if (what != PWFLEET_OLD)
-    note_news(w, b, what, 1, now);
-  if ((!gone && !b->leaving) || !has_audience(w))
+    note_change(w, b, what, 1, now);
+  if ((!gone && !b->leaving) || !has_control_watcher(w))
     return 0;
-  w->confirm = 1;
-  return w->number + 1;
+  w->must_confirm = 1;
+  return w->last_number + 1;
 }
 
 static void on_silent(void *arg, pw_target *t, int forgotten) {
@@ -340,36 +363,37 @@
     return;
   }
   pwfleet_beat_of(t, &b);
-  note_news(w, &b, PWFLEET_SILENT, 0, now);
+  note_change(w, &b, PWFLEET_SILENT, 0, now);
 }
 
-typedef struct told {
+typedef struct update_source {
   pw_watch *w;
   const pw_peer *from;
   int64_t now;
-} told;
+} update_source;
 
-/* Another control instance has heard a target. Who is silent each judges by
-** itself, from all that they have told each other. */
-static void on_told(void *arg, const Pw__Beat *beat) {
-  const told *in = arg;
+/* Takes a heartbeat that another control instance received. The report that
+** a target is silent is ignored: each instance finds that out from the
+** heartbeats of all. */
+static void on_update(void *arg, const Pw__Beat *beat) {
+  const update_source *in = arg;
   pw_beat b;
   if (beat->silent)
     return;
   pwtable_unpack(beat, &b);
-  int64_t heard_at = in->now - beat->age;
+  int64_t received_at = in->now - beat->age;
   pw_fleet_news what =
       pwtable_is_renewal(beat)
-          ? pwfleet_renew(in->w->targets, b.id, b.born, b.seq, heard_at)
-          : pwfleet_beat(in->w->targets, &b, beat->gone, heard_at);
+          ? pwfleet_renew(in->w->targets, b.id, b.born, b.seq, received_at)
+          : pwfleet_beat(in->w->targets, &b, beat->gone, received_at);
   if (pwtable_is_renewal(beat) && !pwfleet_knows(in->w->targets, b.id, b.born))
     pwpeers_ask_all(in->w->peers, in->from);
-  if (what == PWFLEET_BACK) /* a renewal does not say all that it is */
+  if (what == PWFLEET_BACK) /* a renewal does not contain all fields */
     pwfleet_beat_of(pwfleet_find(in->w->targets, b.id), &b);
   if (what >= PWFLEET_JOINED)
-    note_news(in->w, &b, what, 0, heard_at);
+    note_change(in->w, &b, what, 0, received_at);
   if (what == PWFLEET_LEAVING || what == PWFLEET_GONE)
-    pass_on(in->w, &b, what, heard_at);
+    forward_end(in->w, &b, what, received_at);
 }
 
 /* --- watchers --- */
@@ -410,7 +434,7 @@
   return 0;
 }
 
-static int may_be_sent_to(const pw_watch *w, const pw_target *t) {
+static int may_receive_requests(const pw_watch *w, const pw_target *t) {
   return !t->is_gone && !t->is_leaving && !t->is_silent &&
          !pwzones_holds(&w->evacuated, t->availability_zone);
 }
@@ -419,7 +443,7 @@
                    double *of_version, double *of_others) {
   *of_version = *of_others = 0;
   for (pw_target *t = pwfleet_first(w->targets); t; t = t->hh.next) {
-    if (strcmp(t->service, service) != 0 || !may_be_sent_to(w, t))
+    if (strcmp(t->service, service) != 0 || !may_receive_requests(w, t))
       continue;
     *(strcmp(t->version, version) ? of_others : of_version) += t->slots;
   }
@@ -429,10 +453,10 @@
   return &w->evacuated;
 }
 
-/* A watcher came or went. */
-static void note_gateways(pw_watch *w, const watcher *one) {
+/* Notes that a watcher came or went, if it is a gateway. */
+static void note_gateway_change(pw_watch *w, const watcher *one) {
   if (one->gossip[0])
-    w->changed_at = pwclock_ms();
+    w->gateways_changed_at = pwclock_ms();
 }
 
 static watcher *add_watcher(pw_watch *w, const pw_peer *from,
@@ -443,10 +467,10 @@
   one->next = w->watchers;
   w->watchers = one;
   w->nwatchers++;
-  one->told_site = UINT64_MAX; /* it is told at once */
+  one->announced_site = UINT64_MAX; /* a Notice is due at once */
   pw_copy(one->gossip, sizeof one->gossip, e->watch->gossip);
   pw_copy(one->control, sizeof one->control, e->watch->control);
-  note_gateways(w, one);
+  note_gateway_change(w, one);
   return one;
 }
 
@@ -456,51 +480,51 @@
   watcher *one = watcher_of(w, from, e->incarnation);
   if (!one)
     one = add_watcher(w, from, e);
-  one->heard_at = now;
+  one->received_at = now;
   pwpeers_watched(w->peers, m, now);
-  int relies = m->primary && !one->is_primary;
+  int is_new_primary = m->primary && !one->is_primary;
   one->is_primary = m->primary;
-  pwsuspects_take(w->quarantine, m->suspects, m->n_suspects, now, hear_suspect,
+  pwsuspects_take(w->quarantine, m->suspects, m->n_suspects, now, on_suspect,
                   w);
-  if (relies)
-    one->asked_at = now;
+  if (is_new_primary)
+    one->table_asked_at = now;
   else if (!m->primary)
-    one->asked_at = 0;
+    one->table_asked_at = 0;
   if (one->gossip[0])
-    pwhand_watch(w->hand, from, e->incarnation, m, now);
+    pwhand_watch(w->docsend, from, e->incarnation, m, now);
 }
 
 void pwwatch_message(pw_watch *w, const pw_peer *from, const Pw__Envelope *e,
                      int64_t now) {
-  told in = {w, from, now};
+  update_source in = {w, from, now};
   if (e->body_case == PW__ENVELOPE__BODY_WATCH) {
     on_watch(w, from, e, now);
   } else if (e->body_case == PW__ENVELOPE__BODY_NOTICE) {
-    pwtable_read(e->notice, on_told, &in);
+    pwtable_read(e->notice, on_update, &in);
     pwpeers_told(w->peers, from, e, now);
     pwsuspects_take(w->quarantine, e->notice->suspects, e->notice->n_suspects,
-                    now, hear_suspect, w);
+                    now, on_suspect, w);
   }
 }
 
 void pwwatch_excuse(pw_watch *w, int64_t ms) {
   pwfleet_excuse(w->targets, ms);
   for (watcher *one = w->watchers; one; one = one->next)
-    one->heard_at += ms;
+    one->received_at += ms;
 }
 
 static void drop_lost(pw_watch *w, int64_t now) {
-  int64_t longest = LOST_TIMES * notice_ms(w);
+  int64_t silence_max = LOST_NOTICES * notice_interval_ms(w);
   for (watcher **at = &w->watchers; *at;) {
     watcher *one = *at;
-    if (!one->is_lost && now - one->heard_at < longest) {
+    if (!one->is_lost && now - one->received_at < silence_max) {
       at = &one->next;
       continue;
     }
     *at = one->next;
     w->nwatchers--;
-    note_gateways(w, one);
-    pwhand_drop(w->hand, &one->peer, one->incarnation);
+    note_gateway_change(w, one);
+    pwhand_drop(w->docsend, &one->peer, one->incarnation);
     free(one);
   }
 }
@@ -528,130 +552,136 @@
   return list;
 }
 
-/* --- time --- */
+/* --- outgoing updates --- */
 
-/* Who is told what: other control instances what was heard here, its renewals
-** too, and observers nothing of targets. Gateways hear of changes: of all from the instance
-** that they rely on, of what was heard here and leaves from every one. */
+/* The groups of watchers by what they receive. Other control instances
+** receive all heartbeats that arrived here, renewals too; observers receive
+** nothing about targets. Gateways receive changes: all of them from the
+** instance that they rely on, and from every instance the ends of targets
+** that were reported to it. */
 typedef enum audience {
   TO_CONTROL,
   TO_OBSERVERS,
-  TO_RELYING,
-  TO_OTHERS
+  TO_PRIMARY_GATEWAYS,
+  TO_OTHER_GATEWAYS
 } audience;
 
 static audience audience_of(const watcher *one) {
   if (!one->gossip[0])
     return one->is_primary ? TO_CONTROL : TO_OBSERVERS;
-  return one->is_primary ? TO_RELYING : TO_OTHERS;
+  return one->is_primary ? TO_PRIMARY_GATEWAYS : TO_OTHER_GATEWAYS;
 }
 
-static int is_any(const pw_tidings *t) {
+static int concerns_all(const pw_tidings *t) {
   (void)t;
   return 1;
 }
 
-static int is_own_end(const pw_tidings *t) {
+static int is_local_end(const pw_tidings *t) {
   return t->is_own && (t->gone || t->beat.leaving);
 }
 
-static int is_nothing(const pw_tidings *t) {
+static int concerns_none(const pw_tidings *t) {
   (void)t;
   return 0;
 }
 
-/* Whether the configuration or the evacuated availability zones are others than it was
-** told. */
-static int is_news_to(const pw_watch *w, const watcher *to) {
-  return to->told_site != pwdoc_version(w->doc) ||
-         to->told_revision != w->evacuated.revision;
+/* Whether a watcher was not yet sent the current version of the
+** configuration or of the evacuated availability zones. */
+static int lacks_versions(const pw_watch *w, const watcher *to) {
+  return to->announced_site != pwdoc_version(w->doc) ||
+         to->announced_revision != w->evacuated.revision;
 }
 
-static void tell_news(pw_watch *w, watcher *to, const pw_bundle *b,
-                      int64_t now) {
+static void send_due_notice(pw_watch *w, watcher *to, const pw_bundle *b,
+                            int64_t now) {
   Pw__Notice n = b->notice;
-  n.confirm = audience_of(to) == TO_CONTROL && w->confirm;
-  if (b->n || is_news_to(w, to) || now - to->told_at >= notice_ms(w))
-    tell(w, to, &n, now);
+  n.confirm = audience_of(to) == TO_CONTROL && w->must_confirm;
+  if (b->n || lacks_versions(w, to) ||
+      now - to->notified_at >= notice_interval_ms(w))
+    send_notice(w, to, &n, now);
 }
 
-static void tell_each(pw_watch *w, audience to, const pw_bundle *b,
-                      int64_t now) {
+static void notify_each(pw_watch *w, audience to, const pw_bundle *b,
+                        int64_t now) {
   for (watcher *one = w->watchers; one; one = one->next)
     if (audience_of(one) == to)
-      tell_news(w, one, b, now);
+      send_due_notice(w, one, b, now);
 }
 
-static void tell_audience(pw_watch *w, audience to, const pw_outbox *from,
-                          int (*concerns)(const pw_tidings *t), int64_t now) {
+static void notify_audience(pw_watch *w, audience to, const pw_outbox *from,
+                            int (*concerns)(const pw_tidings *t), int64_t now) {
   pw_bundle b;
   pwbundle_make(&b, from, concerns, now);
   if (to == TO_CONTROL && b.n)
-    w->number++;
-  tell_each(w, to, &b, now);
+    w->last_number++;
+  notify_each(w, to, &b, now);
   pwbundle_free(&b);
 }
 
-static int is_news(const pw_watch *w) {
+static int any_lacks_versions(const pw_watch *w) {
   for (watcher *one = w->watchers; one; one = one->next)
-    if (one->gossip[0] && is_news_to(w, one))
+    if (one->gossip[0] && lacks_versions(w, one))
       return 1;
   return 0;
 }
 
-/* Control instances are few, and a call may wait until they have it. */
-static void tell_control_instances(pw_watch *w, int64_t now) {
-  if (!w->confirm && !pwoutbox_is_due(&w->to_control, GATHER_MS, RENEW_MS, now))
+/* Control instances are few, so changes are collected only briefly; not at
+** all while a call waits for a confirmation. */
+static void notify_control(pw_watch *w, int64_t now) {
+  if (!w->must_confirm &&
+      !pwoutbox_is_due(&w->to_control, CONTROL_BATCH_MS, RENEWAL_MS, now))
     return;
-  tell_audience(w, TO_CONTROL, &w->to_control, is_any, now);
-  tell_audience(w, TO_OBSERVERS, &w->to_control, is_nothing, now);
+  notify_audience(w, TO_CONTROL, &w->to_control, concerns_all, now);
+  notify_audience(w, TO_OBSERVERS, &w->to_control, concerns_none, now);
   pwoutbox_told(&w->to_control, now);
-  w->confirm = 0;
+  w->must_confirm = 0;
 }
 
-/* A newer configuration, or other evacuated availability zones or roll-outs, to those that do not
-** know of it. */
-static void tell_versions(pw_watch *w, int64_t now) {
-  if (now - w->versions_at < pwgather_versions_ms(w->nwatchers) || !is_news(w))
+/* Announces a newer configuration, or changed evacuations or rollouts, to
+** the gateways that do not know of it. */
+static void notify_versions(pw_watch *w, int64_t now) {
+  if (now - w->versions_sent_at < pwgather_versions_ms(w->nwatchers) ||
+      !any_lacks_versions(w))
     return;
-  w->versions_at = now;
+  w->versions_sent_at = now;
   for (watcher *one = w->watchers; one; one = one->next) {
     Pw__Notice n = PW__NOTICE__INIT;
-    if (one->gossip[0] && is_news_to(w, one))
-      tell(w, one, &n, now);
+    if (one->gossip[0] && lacks_versions(w, one))
+      send_notice(w, one, &n, now);
   }
 }
 
-static int count_relying(const pw_watch *w) {
+static int count_primary(const pw_watch *w) {
   int n = 0;
   for (const watcher *one = w->watchers; one; one = one->next)
     n += one->gossip[0] && one->is_primary;
   return n;
 }
 
-/* The first change goes out at once; those that follow closely wait a little
-** for each other. */
-static void tell_gateways(pw_watch *w, int64_t now) {
-  int relying = count_relying(w);
-  int64_t gather = pwgather_targets_ms(relying, w->nwatchers - relying);
-  int64_t renew = gather > RENEW_MS ? gather : RENEW_MS;
-  if (!pwoutbox_is_due(&w->to_gateways, gather, renew, now))
+/* The first change is sent at once; those that follow closely are collected
+** for a while. */
+static void notify_gateways(pw_watch *w, int64_t now) {
+  int primary = count_primary(w);
+  int64_t batch_ms = pwgather_targets_ms(primary, w->nwatchers - primary);
+  int64_t renewal_ms = batch_ms > RENEWAL_MS ? batch_ms : RENEWAL_MS;
+  if (!pwoutbox_is_due(&w->to_gateways, batch_ms, renewal_ms, now))
     return;
-  tell_audience(w, TO_RELYING, &w->to_gateways, is_any, now);
-  tell_audience(w, TO_OTHERS, &w->to_gateways, is_own_end, now);
+  notify_audience(w, TO_PRIMARY_GATEWAYS, &w->to_gateways, concerns_all, now);
+  notify_audience(w, TO_OTHER_GATEWAYS, &w->to_gateways, is_local_end, now);
   pwoutbox_told(&w->to_gateways, now);
 }
 
-static void count(pw_watch *w, int64_t now) {
+static void update_metrics(pw_watch *w, int64_t now) {
   pw_counters *c = w->p->counters;
-  int unheard = !pwwatch_is_heard(w, now);
+  int isolated = !pwwatch_is_heard(w, now);
   pwcount_set(c, PWC_QUARANTINED, pwquar_count(w->quarantine));
   pwcount_set(c, PWC_OBSERVERS, pwmesh_observers(w->mesh));
-  pwcount_set(c, PWC_UNHEARD, unheard);
-  if (unheard != w->is_unheard)
-    pwlog(unheard ? LOG_WARNING : LOG_NOTICE, unheard ? "unheard" : "heard",
+  pwcount_set(c, PWC_UNHEARD, isolated);
+  if (isolated != w->is_isolated)
+    pwlog(isolated ? LOG_WARNING : LOG_NOTICE, isolated ? "unheard" : "heard",
           "control_instances=%d", w->mesh->n);
-  w->is_unheard = unheard;
+  w->is_isolated = isolated;
 }
 
 void pwwatch_tick(pw_watch *w, int in_touch, int leads, int64_t now) {
@@ -661,12 +691,12 @@
   pwrolltold_read(&w->rollouts, w->resources);
   drop_lost(w, now);
   pwquar_tick(w->quarantine, now);
-  count(w, now);
+  update_metrics(w, now);
   pwpeers_tick(w->peers, now);
   pwfleet_tick(w->targets, now, on_silent, w);
-  pwhand_serve(w->hand, &w->bulk, now);
-  tell_tables(w, now);
-  tell_control_instances(w, now);
-  tell_versions(w, now);
-  tell_gateways(w, now);
+  pwhand_serve(w->docsend, &w->bulk_pace, now);
+  send_tables(w, now);
+  notify_control(w, now);
+  notify_versions(w, now);
+  notify_gateways(w, now);
 }
--- a/packages/control/pwwatch.h
+++ b/packages/control/pwwatch.h
@@ -1,6 +1,7 @@
-/* pwwatch.h: those who watch a control instance: gateways and other control
-** instances. They are told of targets, of the configuration's version, and of
-** each other. */
+/* pwwatch.h: the watchers of a control instance, which are gateways and
+** other control instances. They send Watch messages, and receive Notices
+** about targets, about newer versions of the configuration, and about each
+** other. */
 #ifndef PWWATCH_H
 #define PWWATCH_H
 
@@ -14,34 +15,38 @@
 
 typedef struct pw_watch pw_watch;
 
-/* Watchers reach `listener`; other control instances are watched through
-** `dialler`. `doc` is the configuration applied here, `resources` what else is. */
+/* Watchers connect to `listener`; other control instances are watched
+** through `dialler`. `doc` is the configuration and `resources` the
+** resources that are applied here. */
 pw_watch *pwwatch_new(pw_proc *p, pw_sock *listener, pw_sock *dialler,
                       const pw_doc *doc, const pw_res *resources);
 void pwwatch_free(pw_watch *w);
 
-/* A message of a watcher, or a notice of another control instance. */
+/* Handles a Watch message of a watcher, or a Notice of another control
+** instance. */
 void pwwatch_message(pw_watch *w, const pw_peer *from, const Pw__Envelope *e,
                      int64_t now);
 
-/* A target was heard here. One that leaves, or has gone, may be told that this is known when
-** pwwatch_held has come to the number; 0: at once. */
+/* Takes a heartbeat that was received here. If the target leaves or has
+** gone, the heartbeat may be acknowledged once pwwatch_held reaches the
+** number that is returned; 0: at once. */
 uint64_t pwwatch_beat(pw_watch *w, const pw_beat *b, int gone, int64_t now);
 
-/* Up to which number another control instance has all that was heard here. */
+/* The number of the last update that, with all before it, another control
+** instance has confirmed. */
 uint64_t pwwatch_held(const pw_watch *w);
 
-/* Whether what is heard here is told on: this instance is a member of the group, or members
-** hear it. */
+/* Whether heartbeats that are received here reach the group: this instance
+** is a member, or members receive its updates. */
 int pwwatch_is_heard(const pw_watch *w, int64_t now);
 
-/* Whether a target was heard in that availability zone; and all of them, new
-** reference. */
+/* Whether a target of that availability zone is known; and the names of all
+** availability zones with targets, new reference. */
 int pwwatch_has_zone(const pw_watch *w, const char *name);
 json_t *pwwatch_zones_json(const pw_watch *w);
 
-/* Whether a target of that service was heard here; and the slots of those that may be sent
-** to, of that version and of all others. */
+/* Whether a target of that service is known; and the slots of its targets
+** that may receive requests, of that version and of all others. */
 int pwwatch_has_service(const pw_watch *w, const char *name);
 void pwwatch_slots(const pw_watch *w, const char *service, const char *version,
                    double *of_version, double *of_others);
@@ -49,17 +54,20 @@
 /* The availability zones that are evacuated. */
 const pw_zones *pwwatch_evacuated(const pw_watch *w);
 
-/* The group's members by their wire addresses, and whether this instance is one. */
+/* Sets the wire addresses of the members of the group, and whether this
+** instance is one of them. */
 void pwwatch_group(pw_watch *w, char (*addr)[PW_NAME_MAX], int n, int is_member,
                    int64_t now);
 
-/* Control instances outside of the group that are known here; new reference. */
+/* The known control instances outside of the group, as JSON; new reference. */
 json_t *pwwatch_observers_json(const pw_watch *w);
 
-/* Sends what is due; `in_touch`: a leader was heard just now; `leads`: this is the one. */
-/* This process could hear nobody for `ms`: no silence of targets or gateways. */
+/* This process was stalled for `ms` and received nothing: that time does not
+** count as silence of targets or gateways. */
 void pwwatch_excuse(pw_watch *w, int64_t ms);
 
+/* Sends the Notices that are due. `in_touch`: there is contact with a
+** leader; `leads`: this instance is the leader. */
 void pwwatch_tick(pw_watch *w, int in_touch, int leads, int64_t now);
 
 #endif
