--- a/packages/control/pwgroup.c
+++ b/packages/control/pwgroup.c
@@ -1,4 +1,4 @@
-/* pwgroup.c: a control instance's part in its group. */
+/* pwgroup.c: a control instance's membership of the control group. */
 #include "pwgroupint.h"
 
 #include "pwbuf.h"
@@ -10,10 +10,12 @@
 #include <string.h>
 
 #define JOIN_MS 200
-#define JOIN_FULL_MS 1000 /* in a group that has room for nobody else */
-#define FULL_RETRY_MS 200 /* a full disk is tried again so often */
-#define FULL_HAND_OVER_MS 50
-#define ENTRY_OVERHEAD 256 /* bytes of a record besides the command */
+/* while the group has as many members as it may have */
+#define JOIN_SLOW_MS 1000
+#define DISK_RETRY_MS 200 /* interval at which a full disk is tried again */
+/* a leader whose disk is full stays active so long to transfer leadership */
+#define TRANSFER_MS 50
+#define ENTRY_OVERHEAD 256 /* bytes of a log record besides the command */
 
 const pw_state *pwgroup_state(const pw_group *g) {
   return g->state;
@@ -34,14 +36,15 @@
   return !full;
 }
 
-/* With a full disk an instance takes no part: others lead and count. What waits
-** to be stored is tried again when there is room. */
+/* An instance with a full disk takes no part in the consensus, so that the
+** others elect a leader and form the quorum. What waits to be stored is
+** tried again at intervals. */
 static int is_passive(pw_group *g, int64_t now) {
   if (!g->disk_full)
     return 0;
-  if (now < g->full_until)
-    return now >= g->full_until - FULL_RETRY_MS;
-  g->full_until = now + FULL_RETRY_MS;
+  if (now < g->disk_retry_at)
+    return now >= g->disk_retry_at - DISK_RETRY_MS;
+  g->disk_retry_at = now + DISK_RETRY_MS;
   return !has_room(g, 0);
 }
 
@@ -54,7 +57,7 @@
     return;
   const Pw__Cons *m = e->cons;
   if (m->n_entries && !has_room(g, pw__cons__get_packed_size(m)))
-    return; /* not taken, so not acknowledged */
+    return; /* not stored, so not acknowledged */
   pwcons_step(g->cons, now, m);
 }
 
@@ -66,9 +69,10 @@
   int64_t now = pwclock_ms();
   if (is_passive(g, now))
     return PW_E_DISK_FULL;
-  if (!has_room(g, n)) { /* the one that takes over is told before it rests */
+  /* the transfer message is sent before this instance becomes passive */
+  if (!has_room(g, n)) {
     pwcons_hand_over(g->cons, now);
-    g->full_until = now + FULL_HAND_OVER_MS + FULL_RETRY_MS;
+    g->disk_retry_at = now + TRANSFER_MS + DISK_RETRY_MS;
     return PW_E_DISK_FULL;
   }
   uint8_t *bytes = pw_alloc(n);
@@ -141,11 +145,11 @@
                                 r.vote, entries, count);
   if (rc != PW_E_DISK_FULL)
     return rc;
-  set_disk_full(g, 1); /* the older snapshot and its log go on */
+  set_disk_full(g, 1); /* the older snapshot and its log stay in use */
   return PW_OK;
 }
 
-static void note_role(pw_group *g) {
+static void report_role(pw_group *g) {
   int leader = pwgroup_is_leader(g);
   if (leader == g->was_leader)
     return;
@@ -156,7 +160,7 @@
         (unsigned long long)pwgroup_term(g));
   if (leader)
     pwcount_add(g->p->counters, PWC_ELECTIONS, 1);
-  g->calls.led(g->calls.arg, leader);
+  g->calls.role_changed(g->calls.arg, leader);
 }
 
 pw_code pwgroup_work(pw_group *g, int64_t now) {
@@ -171,7 +175,7 @@
     pw_code rc = store_ready(g, &r);
     if (rc == PW_E_DISK_FULL) {
       set_disk_full(g, 1);
-      g->full_until = now + FULL_RETRY_MS;
+      g->disk_retry_at = now + DISK_RETRY_MS;
       return PW_OK;
     }
     if (rc != PW_OK)
@@ -184,7 +188,7 @@
   const Pw__Entry *e;
   while ((e = pwcons_next(g->cons)) != NULL)
     apply(g, e);
-  note_role(g);
+  report_role(g);
   pwgi_manage_members(g);
   return take_snapshot(g);
 }
@@ -192,15 +196,15 @@
 void pwgroup_tick(pw_group *g, int64_t now) {
   if (g->cons && !is_passive(g, now))
     pwcons_tick(g->cons, now);
-  int pause = g->known.n == PWCONS_MEMBERS ? JOIN_FULL_MS : JOIN_MS;
-  if ((g->cons && !pwgi_seeks(g)) || now - g->join_at < pause)
+  int interval = g->known_members.n == PWCONS_MEMBERS ? JOIN_SLOW_MS : JOIN_MS;
+  if ((g->cons && !pwgi_seeks(g)) || now - g->join_sent_at < interval)
     return;
-  g->join_at = now;
+  g->join_sent_at = now;
   for (contact *c = g->contacts; c; c = c->next)
     pwgi_send_join(g, c->addr, 0);
 }
 
-/* --- the rest --- */
+/* --- start, stop and state --- */
 
 pw_code pwgroup_open(pw_proc *p, pw_sock *dialler, const pw_group_calls *calls,
                      pw_group **out, pw_buf *err) {
@@ -212,9 +216,9 @@
   g->state = pwstate_new();
   g->may_found = 1;
   pw_store_state st = {0};
-  int bad = p->set->control_seeds.n ? pwgi_read_seeds(g, err)
-                                    : pwgi_read_peers(g, err);
-  pw_code rc = bad ? PW_E_SETTINGS : PW_OK;
+  int is_invalid = p->set->control_seeds.n ? pwgi_read_seeds(g, err)
+                                           : pwgi_read_peers(g, err);
+  pw_code rc = is_invalid ? PW_E_SETTINGS : PW_OK;
   if (rc == PW_OK)
     rc = pwstore_open(p->set->control_data_dir, g->slot, pwfile_posix(),
                       &g->store, &st, err);
@@ -222,7 +226,7 @@
   int64_t now = pwclock_ms();
   if (rc == PW_OK && st.snapshot) {
     rc = pwgi_begin(g, &st, now);
-  } else if (rc == PW_OK && g->listed == 0 && g->may_found) {
+  } else if (rc == PW_OK && g->nlisted == 0 && g->may_found) {
     pw_cons_config config = {.n = 1, .m = {pwgi_self(g)}};
     rc = pwgi_found(g, &config, pwgi_number(&config), pwgi_first_term(), now);
   }
@@ -258,8 +262,8 @@
   return g->cons && pwcons_role(g->cons) == PWCONS_LEADER;
 }
 
-/* What is committed must be applied too: a new leader may have learnt just now
-** what the old one has accepted. */
+/* A lease counts only once all that is committed is applied: a new leader
+** may have learnt just now what the one before has accepted. */
 int pwgroup_lease(const pw_group *g, int64_t now) {
   return g->cons && pwcons_lease(g->cons, now) &&
          g->applied >= pwcons_commit(g->cons);
@@ -275,8 +279,8 @@
 }
 
 int pwgroup_is_member(const pw_group *g) {
-  return g->cons &&
-         !(pwgi_seeks(g) && g->known.n && !pwmember_has(&g->known, g->id));
+  return g->cons && !(pwgi_seeks(g) && g->known_members.n &&
+                      !pwmember_has(&g->known_members, g->id));
 }
 
 static int list_members(const pw_cons_config *c, char (*addr)[PW_NAME_MAX]) {
@@ -289,8 +293,8 @@
   int n = 0;
   if (pwgroup_is_member(g))
     return list_members(pwcons_config(g->cons), addr);
-  if (g->known.n)
-    return list_members(&g->known, addr);
+  if (g->known_members.n)
+    return list_members(&g->known_members, addr);
   for (contact *c = g->contacts; c && n < PWCONS_MEMBERS; c = c->next)
     pw_copy(addr[n++], PW_NAME_MAX, c->addr);
   return n;
--- a/packages/control/pwgroupint.h
+++ b/packages/control/pwgroupint.h
@@ -1,18 +1,20 @@
-/* pwgroupint.h: state of a control instance's part in its group, for pwgroup.c and
-** pwjoin.c alone. */
+/* pwgroupint.h: state of a control instance's membership of the group, for
+** pwgroup.c and pwjoin.c alone. */
 #ifndef PWGROUPINT_H
 #define PWGROUPINT_H
 
 #include "pwgroup.h"
 #include "pwstore.h"
 
-/* Someone reached by address: listed in the settings or in a configuration. */
+/* Another control instance, reached by its address from the settings or from
+** a configuration of the group. */
 typedef struct contact {
   char addr[PWCONS_ADDR];
   pw_peer peer;
-  uint32_t slot; /* of the settings' list; 0: not listed */
-  uint64_t id;   /* told by Join while it is not in a group */
-  int is_empty;  /* it said it is in no group */
+  uint32_t slot; /* its number in the settings; 0: it is not in the settings */
+  /* disk id from its Join message, while this instance is in no group */
+  uint64_t id;
+  int is_empty; /* it reported that it is in no group */
   char http[PWCONS_ADDR];
   struct contact *next;
 } contact;
@@ -27,58 +29,65 @@
   uint64_t id;
   uint32_t slot;
   contact *contacts;
-  int listed; /* contacts of the settings besides this one */
+  int nlisted; /* number of contacts in the settings, without this instance */
   int may_found;
-  int by_seeds; /* the settings name seeds, not peers */
-  int64_t join_at;
+  int uses_seeds; /* the settings have control.seeds, not control.peers */
+  int64_t join_sent_at;
   int was_leader;
   int disk_full;
-  int64_t full_until;     /* the disk is not tried again before, ms */
-  pw_cons_member joining; /* learner to add; id 0: none */
-  pw_cons_config known;   /* the members, as one of them has told ... */
-  char known_leader
-      [PWCONS_ADDR]; /* ... and where the leader serves; "": not known */
+  /* while the disk is full: it is not tried again before, ms */
+  int64_t disk_retry_at;
+  pw_cons_member joining; /* learner to be added; id 0: none */
+  /* outside of the group: its members, as one of them reported */
+  pw_cons_config known_members;
+  /* the leader's HTTP address from the same report; "": not known */
+  char known_leader[PWCONS_ADDR];
   uint64_t applied;
 };
 
-/* --- pwjoin.c: who belongs to the group --- */
+/* --- pwjoin.c: membership of the group --- */
 
-/* Sends to an address, which becomes a contact. */
+/* Sends a message to an address, which becomes a contact. */
 void pwgi_send(pw_group *g, const char *addr, Pw__Envelope *e);
 
-/* Reads control.peers, or control.seeds, into contacts; -1 with a reason. */
+/* Reads control.peers, or control.seeds, into contacts; -1 with a reason in
+** err. */
 int pwgi_read_peers(pw_group *g, pw_buf *err);
 int pwgi_read_seeds(pw_group *g, pw_buf *err);
 
-/* This instance as a voter. */
+/* This instance as a voter of a configuration. */
 pw_cons_member pwgi_self(const pw_group *g);
 
-/* The number of a group of these members. */
+/* The id of a group that these members found. */
 uint64_t pwgi_number(const pw_cons_config *config);
 
-/* The term that a group begins with. */
+/* The term with which a new group begins. */
 uint64_t pwgi_first_term(void);
 
-/* Takes part in the group that the disk belongs to. */
+/* Starts consensus from the state that is stored on the disk. */
 pw_code pwgi_begin(pw_group *g, const pw_store_state *st, int64_t now);
 
-/* Founds a group with these members. */
+/* Starts this instance as a member of a group with this configuration and
+** id; term 0: the group exists already. */
 pw_code pwgi_found(pw_group *g, const pw_cons_config *config, uint64_t number,
                    uint64_t term, int64_t now);
 
-/* Founds the group if all that the settings list have said that they are in none. */
+/* Founds the group if all instances in the settings have reported that they
+** are in none. */
 pw_code pwgi_try_found(pw_group *g, int64_t now);
 
-/* Whether this instance is in no group, or not in its place. */
+/* Whether this instance must ask to be let into the group, or to be let in
+** again. */
 int pwgi_seeks(const pw_group *g);
 
-/* Tells an address who this is; `reply` answers another. */
+/* Sends a Join message with the identity and membership of this instance;
+** `reply`: it answers one. */
 void pwgi_send_join(pw_group *g, const char *addr, int reply);
 
-/* Another instance has told who it is. */
+/* Handles a Join message. */
 void pwgi_on_join(pw_group *g, const Pw__Join *j, int64_t now);
 
-/* As leader: the next change of the group, one at a time. */
+/* As leader: proposes the next change of the membership, one at a time. */
 void pwgi_manage_members(pw_group *g);
 
 #endif
--- a/packages/control/pwjoin.c
+++ b/packages/control/pwjoin.c
@@ -1,4 +1,5 @@
-/* pwjoin.c: who belongs to a control group: contacts, founding, joining, changes. */
+/* pwjoin.c: membership of a control group: contacts, founding, joining and
+** changes. */
 #include "pwgroupint.h"
 
 #include "pwbuf.h"
@@ -39,35 +40,36 @@
     unsigned slot;
     char addr[PWCONS_ADDR];
     if (sscanf(l->item[i], "%u=%63s", &slot, addr) != 2) {
-      pwbuf_fmt(err, "control.peers: \"%s\": ID=tcp://IP:PORT is allowed\n",
+      pwbuf_fmt(err, "control.peers: \"%s\": expected ID=tcp://IP:PORT\n",
                 l->item[i]);
       return -1;
     }
     if (slot == g->slot)
       continue;
     contact_of(g, addr)->slot = slot;
-    g->listed++;
+    g->nlisted++;
   }
   return 0;
 }
 
-/* Instances that seeds name have no number: their address stands for it. */
+/* Instances in control.seeds have no number: a hash of the address takes its
+** place. */
 static uint32_t slot_of(const char *addr) {
   uint32_t slot = (uint32_t)XXH3_64bits(addr, strlen(addr));
   return slot ? slot : 1;
 }
 
-/* Reads "IP:PORT" items of control.seeds: the HTTP of instances whose wire is
-** at control.seed_port. */
+/* Reads "IP:PORT" items of control.seeds. They are HTTP addresses; the wire
+** address has the port control.seed_port. */
 int pwgi_read_seeds(pw_group *g, pw_buf *err) {
   const pw_settings *set = g->p->set;
-  g->by_seeds = 1;
+  g->uses_seeds = 1;
   g->may_found = 0;
   g->slot = slot_of(set->control_wire);
   for (int i = 0; i < set->control_seeds.n; i++) {
     char ip[48], addr[PWCONS_ADDR];
     if (sscanf(set->control_seeds.item[i], "%40[0-9.]:", ip) != 1) {
-      pwbuf_fmt(err, "control.seeds: \"%s\": IP:PORT is allowed\n",
+      pwbuf_fmt(err, "control.seeds: \"%s\": expected IP:PORT\n",
                 set->control_seeds.item[i]);
       return -1;
     }
@@ -77,7 +79,7 @@
       continue;
     }
     contact_of(g, addr)->slot = slot_of(addr);
-    g->listed++;
+    g->nlisted++;
   }
   return 0;
 }
@@ -113,19 +115,22 @@
   }
   g->applied = st->snapshot->index;
   g->cons = pwcons_new(&s);
-  g->known = (pw_cons_config){0}; /* its own configuration counts now */
+  g->known_members =
+      (pw_cons_config){0}; /* from now on its own configuration counts */
   return PW_OK;
 }
 
-/* First term of a group founded now. Terms fence orders at targets, which may
-** remember a group that was lost: a group founded later counts from later on.
-** Elections are seconds apart, so no group's terms overtake the clock. */
+/* The first term of a group that is founded now, from the wall clock.
+** Targets refuse orders of a lower term than they have seen, and may
+** remember a group that was lost; so a group that is founded later must
+** begin with a higher term. Elections are seconds apart, so the terms of a
+** group never overtake the clock. */
 uint64_t pwgi_first_term(void) {
   return (uint64_t)pwclock_wall_ms() / MS_PER_S;
 }
 
-/* Starts from nothing under the given configuration; term 0: the group is there
-** already, and will tell. */
+/* Starts with an empty log under the given configuration; term 0: the group
+** exists already and will send its log. */
 pw_code pwgi_found(pw_group *g, const pw_cons_config *config, uint64_t number,
                    uint64_t term, int64_t now) {
   Pw__Snapshot s = PW__SNAPSHOT__INIT;
@@ -143,7 +148,7 @@
   return rc;
 }
 
-/* The same at every founder: from the ids of their disks. */
+/* Every founder computes the same id, from the ids of the disks. */
 uint64_t pwgi_number(const pw_cons_config *config) {
   uint64_t number = 0;
   for (int i = 0; i < config->n; i++)
@@ -158,15 +163,16 @@
   return (x->slot > y->slot) - (x->slot < y->slot);
 }
 
-/* Only when every listed instance has said that it is empty: an instance that
-** does not answer may hold what was accepted. */
+/* Founds the group only when every instance in the settings has reported
+** that it is empty: an instance that does not answer may hold entries that
+** were accepted. */
 pw_code pwgi_try_found(pw_group *g, int64_t now) {
   pw_cons_config config = {0};
   if (!g->may_found)
     return PW_OK;
   config.m[config.n++] = pwgi_self(g);
   for (contact *c = g->contacts; c; c = c->next) {
-    if (!c->slot) /* not of the settings' list */
+    if (!c->slot) /* it is not in the settings */
       continue;
     if (!c->is_empty || config.n == PWCONS_MEMBERS)
       return PW_OK;
@@ -175,22 +181,23 @@
     pw_copy(m->addr, sizeof m->addr, c->addr);
     pw_copy(m->http, sizeof m->http, c->http);
   }
-  if (config.n != g->listed + 1)
+  if (config.n != g->nlisted + 1)
     return PW_OK;
   qsort(config.m, (size_t)config.n, sizeof config.m[0], by_slot);
   return pwgi_found(g, &config, pwgi_number(&config), pwgi_first_term(), now);
 }
 
-/* A voter by its own log may have been removed, and all that it knows have
-** moved: it asks the seeds too. */
-#define LOST_LEASES 3
+/* A voter by its own log may have been removed since, and all members that
+** it knows may have new addresses. With no contact for so many leases it
+** asks the seeds, too. */
+#define SILENT_LEASES 3
 
 int pwgi_seeks(const pw_group *g) {
   int64_t lease = g->p->set->control_lease;
   if (!g->cons)
     return 0;
   return pwmember_seeks(g->cons, g->id, lease) ||
-         (g->by_seeds && pwcons_silence(g->cons) > LOST_LEASES * lease);
+         (g->uses_seeds && pwcons_silence(g->cons) > SILENT_LEASES * lease);
 }
 
 void pwgi_send_join(pw_group *g, const char *addr, int reply) {
@@ -212,7 +219,7 @@
     pw__config__free_unpacked(j.config, NULL);
 }
 
-/* The leader takes note of one that is in no configuration: it becomes a
+/* As leader, notes an instance that is in no configuration: it is added as a
 ** learner, and counts in no quorum until it has caught up. */
 static void note_joining(pw_group *g, const Pw__Join *j) {
   if (!pwgroup_is_leader(g) || pwmember_has(pwcons_config(g->cons), j->id))
@@ -222,25 +229,27 @@
   pw_copy(g->joining.http, sizeof g->joining.http, j->http);
 }
 
-/* Seeds may be stale: whoever answers knows the others. */
+/* Adds the members of a configuration as contacts, since the seeds may be
+** stale. */
 static void learn_contacts(pw_group *g, const Pw__Config *config) {
   for (size_t i = 0; config && i < config->n_members; i++)
     if (strcmp(config->members[i]->addr, g->p->set->control_wire) != 0)
       contact_of(g, config->members[i]->addr);
 }
 
-/* A member tells who belongs to the group, for an instance that does not. */
+/* Notes the members of the group as one of them reported them, for an
+** instance that is not a member. */
 static void note_group(pw_group *g, const Pw__Join *j) {
   if (!j->initialised || j->learner)
     return;
-  pwcons_config_unpack(j->config, &g->known);
+  pwcons_config_unpack(j->config, &g->known_members);
   pw_copy(g->known_leader, sizeof g->known_leader, j->leader);
 }
 
 void pwgi_on_join(pw_group *g, const Pw__Join *j, int64_t now) {
   if (!j->reply)
     pwgi_send_join(g, j->addr, 1);
-  if (g->by_seeds)
+  if (g->uses_seeds)
     learn_contacts(g, j->config);
   note_group(g, j);
   if (g->cons) {
@@ -258,7 +267,7 @@
     pwgi_found(g, &config, j->group, 0, now);
 }
 
-/* --- changes of the group, one at a time --- */
+/* --- membership changes, one at a time --- */
 
 void pwgi_manage_members(pw_group *g) {
   pw_cons_config next;
@@ -266,12 +275,12 @@
     return;
   if (pwmember_has(pwcons_config(g->cons), g->joining.id))
     g->joining.id = 0;
-  int size = g->by_seeds ? 2 * (int)g->p->set->control_losses + 1 : 0;
-  const char *what = pwmember_next(g->cons, &g->joining,
-                                   g->p->set->control_lease, size, &next);
-  if (!what || pwcons_propose_config(g->cons, &next) != PW_OK)
+  int size = g->uses_seeds ? 2 * (int)g->p->set->control_losses + 1 : 0;
+  const char *change = pwmember_next(g->cons, &g->joining,
+                                     g->p->set->control_lease, size, &next);
+  if (!change || pwcons_propose_config(g->cons, &next) != PW_OK)
     return;
   pwevent_add(g->p->events, PWE_MEMBER, 0, NULL, NULL, NULL, "%s, members=%d",
-              what, next.n);
-  pwlog(LOG_NOTICE, "group-change", "what=%s members=%d", what, next.n);
+              change, next.n);
+  pwlog(LOG_NOTICE, "group-change", "what=%s members=%d", change, next.n);
 }
