--- a/packages/control/pwplanner.c
+++ b/packages/control/pwplanner.c
@@ -1,4 +1,5 @@
-/* pwplanner.c: makes what operators declare about models true: what comes next. */
+/* pwplanner.c: plans how the targets reach the state that operators declared
+** for models. */
 #include "pwplannerint.h"
 
 #include "pwbuf.h"
@@ -7,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PASS_MS 1000 /* between passes in which nothing has changed */
-#define BATCH_MAX 8  /* targets whose assignments one change writes */
+#define PASS_MS 1000 /* interval of passes while nothing changes */
+#define BATCH_MAX 8  /* targets whose assignments are written by one change */
 
 pw_planner *pwplanner_new(const pw_res *res, const pw_news *news) {
   pw_planner *pl = pw_alloc(sizeof *pl);
@@ -27,11 +28,11 @@
 
 void pwplanner_lead(pw_planner *pl, int64_t now) {
   pwpl_clear(pl);
-  pl->next_load = now;
-  pl->proposed = 0;
+  pl->next_load_at = now;
+  pl->is_proposed = 0;
 }
 
-/* --- what the targets are --- */
+/* --- states of the targets --- */
 
 static const Pw__ModelState *state_of(const Pw__TargetState *st,
                                       const char *name) {
@@ -46,16 +47,18 @@
   s->s.loaded = ms->loaded;
   if (ms->loaded) {
     s->s.failures = 0;
-  } else if (s->failed != s->attempt) {
-    s->failed = s->attempt;
+  } else if (s->failed_attempt != s->attempt) {
+    s->failed_attempt = s->attempt;
     s->s.failures++;
     s->s.retry_at = now + pwplan_backoff(s->s.failures);
   }
 }
 
-/* A target whose assignment does not name the model serves it as it came, as
-** long as no version has taken over from that. */
-static void look(const pw_planner *pl, const model *m, slot *s, int64_t now) {
+/* Updates a slot from the reported state of its target. A target whose
+** assignment does not name the model serves the version that it started
+** with, until a rollout replaces that. */
+static void update_slot(const pw_planner *pl, const model *m, slot *s,
+                        int64_t now) {
   const Pw__TargetState *st = pwnews_target(pl->news, s->t->name);
   s->s.usable = st && !st->gone && !s->t->drain;
   s->s.acted = 0;
@@ -70,15 +73,15 @@
     note_result(s, ms, now);
 }
 
-/* The slots of a model, as pwplan takes them. */
+/* The slots of a model, in the form that pwplan takes. */
 typedef struct slots {
   slot **of;
   pw_plan_slot *s;
   int n;
 } slots;
 
-static void gather(const pw_planner *pl, const model *m, slots *out,
-                   int64_t now) {
+static void collect_slots(const pw_planner *pl, const model *m, slots *out,
+                          int64_t now) {
   size_t most = HASH_COUNT(pl->targets) + 1;
   out->of = pw_alloc(sizeof(slot *) * most);
   out->s = pw_alloc(sizeof *out->s * most);
@@ -87,7 +90,7 @@
     slot *s = (slot *)pwpl_find_slot(t->slot, t->nslots, m->name);
     if (!s || t->gone)
       continue;
-    look(pl, m, s, now);
+    update_slot(pl, m, s, now);
     out->of[out->n] = s;
     out->s[out->n++] = s->s;
   }
@@ -98,8 +101,8 @@
   free(sl->s);
 }
 
-/* Targets that should carry the model and were never heard of. */
-static int count_unheard(const pw_planner *pl, const slots *sl) {
+/* Counts the targets that should serve the model and have not reported yet. */
+static int count_unreported(const pw_planner *pl, const slots *sl) {
   int n = 0;
   for (int i = 0; i < sl->n; i++) {
     const target *t = sl->of[i]->t;
@@ -120,7 +123,7 @@
   return n;
 }
 
-/* --- writing --- */
+/* --- resources to write --- */
 
 static void add_put(Pw__Change *ch, const char *kind, const char *name,
                     uint64_t version, json_t *spec) {
@@ -145,7 +148,7 @@
   memcpy(row->adapter, m->adapter, sizeof row->adapter);
 }
 
-/* Writes one slot's step into its target's assignment. */
+/* Writes the step of one slot into the assignment of its target. */
 static void put_step(pw_planner *pl, Pw__Change *ch, const model *m, slot *s,
                      const pw_plan_step *step, uint64_t term) {
   pw_assignment *a = pw_alloc(sizeof *a);
@@ -159,7 +162,7 @@
   } else if (row) {
     row->has_serve = 0;
     row->has_load = step->kind != PW_PLAN_RETIRE;
-    row->attempt += step->kind != PW_PLAN_PAUSE; /* its order has ended */
+    row->attempt += step->kind != PW_PLAN_PAUSE; /* ends the order before */
   }
   if (row && step->kind == PW_PLAN_LOAD) {
     pw_copy(row->load, sizeof row->load, step->version);
@@ -167,7 +170,7 @@
   }
   if (row)
     add_put(ch, "assignment", s->t->name, a->version, pwassign_json(a));
-  s->t->in_batch = pl->batch;
+  s->t->batch = pl->batch;
   free(a);
 }
 
@@ -215,32 +218,34 @@
   pwnews_sum(pl->news, pool, done_from, failed_from);
 }
 
-/* What ended since the step began, and since when its share is in force. */
+/* Counts the attempts that ended since the rollout step began, and for how
+** long its share has been in force. */
 static void count_step(const pw_planner *pl, model *m, pw_rollout_ask *ask,
                        int64_t now) {
   const pw_rollout *r = &m->rollout;
   double dt, ft, df, ff;
   sum_versions(pl, m, &dt, &ft, &df, &ff);
-  if (m->counted_step != r->step || strcmp(m->counted, r->to) != 0) {
+  if (m->counted_step != r->step || strcmp(m->counted_version, r->to) != 0) {
     m->counted_step = r->step;
-    pw_copy(m->counted, sizeof m->counted, r->to);
+    pw_copy(m->counted_version, sizeof m->counted_version, r->to);
     m->done_to = dt;
     m->failed_to = ft;
     m->done_from = df;
     m->failed_from = ff;
-    m->full_at = 0;
+    m->share_reached_at = 0;
   }
-  if (!m->full_at && r->share >= pwrollout_goal(r, ask))
-    m->full_at = now;
+  if (!m->share_reached_at && r->share >= pwrollout_goal(r, ask))
+    m->share_reached_at = now;
   ask->done_to = dt - m->done_to;
   ask->failed_to = ft - m->failed_to;
   ask->done_from = df - m->done_from;
   ask->failed_from = ff - m->failed_from;
-  ask->in_step = m->full_at ? now - m->full_at : 0;
+  ask->in_step = m->share_reached_at ? now - m->share_reached_at : 0;
 }
 
-/* Targets at which the version cannot be loaded. As long as it runs nowhere,
-** one target's failures stand for all. */
+/* Counts the targets at which the version cannot be loaded. While it runs
+** nowhere, the failures of one target count as if they were at as many
+** targets. */
 static int count_failed(const slots *sl, const char *version) {
   int targets = 0, most = 0;
   for (int i = 0; i < sl->n; i++) {
@@ -254,13 +259,13 @@
   return runs || targets > most ? targets : most;
 }
 
-static void roll(pw_planner *pl, model *m, const slots *sl, Pw__Change *ch,
-                 int64_t now) {
+static void advance_rollout(pw_planner *pl, model *m, const slots *sl,
+                            Pw__Change *ch, int64_t now) {
   pw_rollout next;
-  pw_rollout_ask ask = {.wanted = m->wanted,
-                        .asked = m->asked,
-                        .is_new = !m->has_rollout && m->asked == 1};
-  read_version(pl, m->wanted, &ask);
+  pw_rollout_ask ask = {.wanted = m->wanted_version,
+                        .asked = m->resource_version,
+                        .is_new = !m->has_rollout && m->resource_version == 1};
+  read_version(pl, m->wanted_version, &ask);
   ask.ready = pwplan_ready(sl->s, sl->n, m->rollout.to);
   ask.loads_failed = count_failed(sl, m->rollout.to);
   count_step(pl, m, &ask, now);
@@ -278,7 +283,7 @@
   return pwrollout_goal(&m->rollout, &ask);
 }
 
-/* Takes a step into the slot as if it were written already. */
+/* Updates the slot as if the step were written already. */
 static void note_step(pw_planner *pl, const model *m, slots *sl,
                       const pw_plan_step *step, int64_t now) {
   pw_plan_slot *s = &sl->s[step->slot];
@@ -292,9 +297,10 @@
   s->has_load = 1;
   s->acted = 0;
   pw_copy(s->load, sizeof s->load, step->version);
-  if (pl->weights > 0) {
-    double ms = load_bytes(pl, m, step->version) / pl->weights * 1000;
-    pl->next_load = (pl->next_load > now ? pl->next_load : now) + (int64_t)ms;
+  if (pl->weights_rate > 0) {
+    double ms = load_bytes(pl, m, step->version) / pl->weights_rate * 1000;
+    pl->next_load_at =
+        (pl->next_load_at > now ? pl->next_load_at : now) + (int64_t)ms;
   }
 }
 
@@ -305,12 +311,12 @@
                      .share = goal_share(pl, m),
                      .replicas = m->replicas};
   while (ch->n_puts < BATCH_MAX) {
-    ask.may_load = *loading < pl->loads_at_once && now >= pl->next_load;
+    ask.may_load = *loading < pl->loads_at_once && now >= pl->next_load_at;
     pw_plan_step step = pwplan_next(&ask, sl->s, sl->n, now);
     if (step.kind == PW_PLAN_NONE)
       return;
     slot *s = sl->of[step.slot];
-    if (s->t->in_batch == pl->batch)
+    if (s->t->batch == pl->batch)
       return;
     put_step(pl, ch, m, s, &step, term);
     note_step(pl, m, sl, &step, now);
@@ -327,53 +333,54 @@
   return 1;
 }
 
-/* Adapters and roles that differ from what the assignments say. */
-static void tend_target(pw_planner *pl, target *t, Pw__Change *ch,
+/* Writes the assignment of a target if its adapters, role or models differ
+** from the resources, and deletes it when the target was deleted. */
+static void sync_target(pw_planner *pl, target *t, Pw__Change *ch,
                         uint64_t term) {
   pw_assignment *a = pw_alloc(sizeof *a);
   pwassign_read(pl->res, t->name, a);
-  int differs = strcmp(a->role, t->role) != 0 && !t->gone;
+  int is_changed = strcmp(a->role, t->role) != 0 && !t->gone;
   for (int i = 0; i < a->nmodels && !t->gone; i++) {
     pw_assigned *row = &a->model[i];
     const model *m;
     HASH_FIND_STR(pl->models, row->model, m);
-    int carried = pwpl_find_slot(t->slot, t->nslots, row->model) != NULL;
-    if (row->has_load && (!carried || !m)) {
+    int is_listed = pwpl_find_slot(t->slot, t->nslots, row->model) != NULL;
+    if (row->has_load && (!is_listed || !m)) {
       row->has_load = row->has_serve = 0;
       row->attempt++;
-      differs = 1;
+      is_changed = 1;
     } else if (row->has_serve && m && !same_adapters(m, row)) {
       set_adapters(m, row);
       row->attempt++;
-      differs = 1;
+      is_changed = 1;
     }
   }
   a->term = term;
   pw_copy(a->role, sizeof a->role, t->role);
   if (t->gone && a->version)
     add_put(ch, "assignment", t->name, a->version, NULL);
-  else if (differs)
+  else if (is_changed)
     add_put(ch, "assignment", t->name, a->version, pwassign_json(a));
   free(a);
 }
 
-/* Targets are looked at one after the other, some in each pass. */
-static void tend_targets(pw_planner *pl, Pw__Change *ch, uint64_t term) {
+/* Updates targets in turn until the batch is full; the next pass goes on. */
+static void sync_targets(pw_planner *pl, Pw__Change *ch, uint64_t term) {
   for (target *t = pl->targets; t && ch->n_puts < BATCH_MAX; t = t->hh.next)
-    if (t->in_batch != pl->batch)
-      tend_target(pl, t, ch, term);
+    if (t->batch != pl->batch)
+      sync_target(pl, t, ch, term);
 }
 
 static void plan_all(pw_planner *pl, Pw__Change *ch, uint64_t term,
                      int64_t now) {
   for (model *m = pl->models; m; m = m->hh.next) {
     slots sl;
-    if (!m->asked && m->has_rollout)
+    if (!m->resource_version && m->has_rollout)
       add_put(ch, "rollout", m->name, m->rollout_version, NULL);
-    if (!m->asked || (!m->managed && !m->has_rollout))
+    if (!m->resource_version || (!m->managed && !m->has_rollout))
       continue;
-    gather(pl, m, &sl, now);
-    roll(pl, m, &sl, ch, now);
+    collect_slots(pl, m, &sl, now);
+    advance_rollout(pl, m, &sl, ch, now);
     int loading = count_loading(pl);
     plan_model(pl, m, &sl, ch, &loading, term, now);
     slots_free(&sl);
@@ -384,12 +391,13 @@
 
 Pw__Change *pwplanner_next(pw_planner *pl, uint64_t term, int64_t now) {
   uint64_t changes = pwnews_changes(pl->news);
-  int still = pl->read == pwres_revision(pl->res) && changes == pl->seen;
-  if (pl->proposed || (still && now - pl->passed < PASS_MS))
+  int is_unchanged = pl->read_revision == pwres_revision(pl->res) &&
+                     changes == pl->seen_changes;
+  if (pl->is_proposed || (is_unchanged && now - pl->passed_at < PASS_MS))
     return NULL;
   pwpl_read(pl);
-  pl->seen = changes;
-  pl->passed = now;
+  pl->seen_changes = changes;
+  pl->passed_at = now;
   pl->batch++;
   Pw__Change *ch = pw_alloc(sizeof *ch);
   pw__change__init(ch);
@@ -398,9 +406,9 @@
       pw_alloc(sizeof *ch->puts * (BATCH_MAX * 2 + HASH_COUNT(pl->models)));
   plan_all(pl, ch, term, now);
   if (ch->n_puts == 0)
-    tend_targets(pl, ch, term);
+    sync_targets(pl, ch, term);
   if (ch->n_puts) {
-    pl->proposed = 1;
+    pl->is_proposed = 1;
     return ch;
   }
   pw__change__free_unpacked(ch, NULL);
@@ -408,10 +416,10 @@
 }
 
 void pwplanner_done(pw_planner *pl, pw_code code) {
-  pl->proposed = 0;
-  pl->passed = 0;
+  pl->is_proposed = 0;
+  pl->passed_at = 0;
   if (code != PW_OK)
-    pl->read = 0; /* somebody else wrote: read all again */
+    pl->read_revision = 0; /* another writer was first: read all again */
 }
 
 /* --- progress --- */
@@ -422,7 +430,7 @@
   return one && one->revision > than ? one->revision : than;
 }
 
-/* As of which revision the model is what it is now. */
+/* The revision that must be in force for the current state of the model. */
 static uint64_t written_at(const pw_planner *pl, const model *m,
                            const slots *sl) {
   uint64_t at = newer(pl, "rollout", m->name, 0);
@@ -434,7 +442,7 @@
 static json_t *model_json(pw_planner *pl, const model *m, uint64_t in_force,
                           int64_t now) {
   slots sl;
-  gather(pl, m, &sl, now);
+  collect_slots(pl, m, &sl, now);
   int usable = 0, loading = 0, failed = 0;
   for (int i = 0; i < sl.n; i++) {
     usable += sl.s[i].usable;
@@ -442,21 +450,24 @@
     failed += sl.s[i].has_load && sl.s[i].acted && !sl.s[i].loaded;
   }
   const pw_rollout *r = &m->rollout;
-  int back = r->state == PW_ROLLOUT_BACK;
-  int carry = m->replicas && m->replicas < usable ? m->replicas : usable;
-  int right = pwplan_serving(sl.s, sl.n, back ? r->from : r->to);
-  int unheard = count_unheard(pl, &sl);
-  int is_told = in_force >= written_at(pl, m, &sl);
-  int moves = r->state == PW_ROLLOUT_ROLLING && r->share < 100;
+  int is_rolled_back = r->state == PW_ROLLOUT_BACK;
+  int serving_goal = m->replicas && m->replicas < usable ? m->replicas : usable;
+  int serving_right =
+      pwplan_serving(sl.s, sl.n, is_rolled_back ? r->from : r->to);
+  int unreported = count_unreported(pl, &sl);
+  int is_in_force = in_force >= written_at(pl, m, &sl);
+  int is_moving = r->state == PW_ROLLOUT_ROLLING && r->share < 100;
   json_t *o = pwassign_rollout_json(r);
   json_object_update_new(
-      o, json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:i,s:i,s:b}", "model", m->name,
-                   "wanted", m->wanted, "targets", carry, "serving_to",
-                   pwplan_serving(sl.s, sl.n, r->to), "serving_from",
-                   pwplan_serving(sl.s, sl.n, r->from), "loading", loading,
-                   "failed", failed, "unheard", unheard, "settled",
-                   !moves && !unheard && is_told && right == carry &&
-                       !strcmp(r->to, m->wanted)));
+      o,
+      json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:i,s:i,s:b}", "model", m->name,
+                "wanted", m->wanted_version, "targets", serving_goal,
+                "serving_to", pwplan_serving(sl.s, sl.n, r->to), "serving_from",
+                pwplan_serving(sl.s, sl.n, r->from), "loading", loading,
+                "failed", failed, "unheard", unreported, "settled",
+                !is_moving && !unreported && is_in_force &&
+                    serving_right == serving_goal &&
+                    !strcmp(r->to, m->wanted_version)));
   slots_free(&sl);
   return o;
 }
@@ -465,7 +476,7 @@
   json_t *list = json_array();
   pwpl_read(pl);
   for (const model *m = pl->models; m; m = m->hh.next)
-    if (m->asked && (m->managed || m->has_rollout))
+    if (m->resource_version && (m->managed || m->has_rollout))
       json_array_append_new(list, model_json(pl, m, in_force, now));
   return list;
 }
--- a/packages/control/pwplannerint.h
+++ b/packages/control/pwplannerint.h
@@ -1,4 +1,5 @@
-/* pwplannerint.h: state of the planner of models, for pwplanner.c and pwplanread.c alone. */
+/* pwplannerint.h: state of the planner of models, for pwplanner.c and
+** pwplanread.c alone. */
 #ifndef PWPLANNERINT_H
 #define PWPLANNERINT_H
 
@@ -10,16 +11,16 @@
 
 #include <uthash.h>
 
-#define PWPL_LOADS_AT_ONCE 2 /* where no policy says it */
+#define PWPL_LOADS_AT_ONCE 2 /* unless the policy sets loads_at_once */
 
 typedef struct target target;
 
-/* One target as a carrier of one model. */
+/* One model at one target. */
 typedef struct slot {
   target *t;
   char model[PW_NAME_MAX];
-  uint64_t attempt; /* of its order */
-  uint64_t failed;  /* attempt whose failure was counted */
+  uint64_t attempt;        /* number of the order in its assignment */
+  uint64_t failed_attempt; /* the last attempt that was counted as failed */
   pw_plan_slot s;
 } slot;
 
@@ -27,18 +28,18 @@
   char name[PW_NAME_MAX];
   uint64_t id;
   int drain;
-  int gone; /* its resource is deleted */
+  int gone; /* its resource was deleted */
   char role[PW_NAME_MAX];
   slot *slot;
   int nslots;
-  int in_batch; /* number of the batch that writes it */
+  int batch; /* the batch that writes its assignment; see pw_planner */
   UT_hash_handle hh;
 };
 
 typedef struct model {
   char name[PW_NAME_MAX];
-  uint64_t asked; /* version of its resource; 0: deleted */
-  char wanted[PW_NAME_MAX];
+  uint64_t resource_version; /* version of its resource; 0: deleted */
+  char wanted_version[PW_NAME_MAX];
   int replicas;
   int managed;
   int has_rollout;
@@ -46,10 +47,12 @@
   uint64_t rollout_version;
   char adapter[PWASSIGN_ADAPTERS][PW_NAME_MAX];
   int nadapters;
-  double done_to, failed_to, done_from, failed_from; /* when the step began */
-  int counted_step; /* step and version that these are of */
-  char counted[PW_NAME_MAX];
-  int64_t full_at; /* when the step's share came in force; 0: not yet */
+  /* sums of finished and failed attempts when the rollout step began */
+  double done_to, failed_to, done_from, failed_from;
+  int counted_step; /* step and version to which these sums belong */
+  char counted_version[PW_NAME_MAX];
+  /* when the share of the step came in force, ms; 0: not yet */
+  int64_t share_reached_at;
   UT_hash_handle hh;
 } model;
 
@@ -58,25 +61,27 @@
   const pw_news *news;
   target *targets;
   model *models;
-  uint64_t read; /* revision up to which the resources were read */
-  uint64_t seen; /* changes of the news that were looked at */
-  int64_t passed;
-  int64_t next_load; /* the weight store's limit */
-  double weights;    /* its bytes a second; 0: no limit */
+  uint64_t read_revision; /* revision up to which the resources were read */
+  uint64_t seen_changes;  /* changes of target states that were looked at */
+  int64_t passed_at;
+  /* earliest time for the next load, ms: it spares the weight store */
+  int64_t next_load_at;
+  /* bytes a second that the weight store may deliver; 0: no limit */
+  double weights_rate;
   int loads_at_once;
-  int batch; /* number of the batch */
-  int proposed;
+  int batch; /* number of the current batch of assignments */
+  int is_proposed;
 };
 
 /* --- pwplanread.c --- */
 
-/* Reads what has changed in the resources since it did so last. */
+/* Reads the resources that have changed since the call before. */
 void pwpl_read(pw_planner *pl);
 
-/* A target's slot of a model; NULL: it has none. */
+/* The slot of a model among a target's slots; NULL: there is none. */
 const slot *pwpl_find_slot(const slot *list, int n, const char *name);
 
-/* Forgets all that was read. */
+/* Drops all that was read. */
 void pwpl_clear(pw_planner *pl);
 
 #endif
--- a/packages/control/pwplanread.c
+++ b/packages/control/pwplanread.c
@@ -1,4 +1,5 @@
-/* pwplanread.c: what the resources say about models, versions and targets, for the planner. */
+/* pwplanread.c: reads models, versions, adapters and targets from the
+** resources, for the planner. */
 #include "pwplannerint.h"
 
 #include "pwbuf.h"
@@ -19,7 +20,7 @@
     HASH_DEL(pl->models, m);
     free(m);
   }
-  pl->read = 0;
+  pl->read_revision = 0;
 }
 
 static model *model_of(pw_planner *pl, const char *name) {
@@ -49,10 +50,11 @@
 static void read_model(pw_planner *pl, const pw_resource *one,
                        const json_t *spec) {
   model *m = model_of(pl, one->name);
-  m->asked = one->deleted ? 0 : one->version;
+  m->resource_version = one->deleted ? 0 : one->version;
   m->replicas = (int)pwjson_number(spec, "replicas", 0);
   m->managed = json_object_get(spec, "version") || m->replicas;
-  pw_copy(m->wanted, sizeof m->wanted, pwjson_text(spec, "version"));
+  pw_copy(m->wanted_version, sizeof m->wanted_version,
+          pwjson_text(spec, "version"));
 }
 
 static void read_rollout(pw_planner *pl, const pw_resource *one) {
@@ -87,7 +89,7 @@
   slot *s = &t->slot[t->nslots++];
   *s = (slot){.t = t};
   if (old) {
-    s->failed = old->failed;
+    s->failed_attempt = old->failed_attempt;
     s->s.failures = old->s.failures;
     s->s.retry_at = old->s.retry_at;
   }
@@ -102,7 +104,7 @@
   pw_copy(s->s.serve, sizeof s->s.serve, row->serve);
 }
 
-/* A target and its assignment are read together. */
+/* Reads a target together with its assignment. */
 static void read_target(pw_planner *pl, const char *name) {
   const pw_resource *one = pwres_get(pl->res, "target", name);
   json_t *spec = one ? json_loads(one->spec, 0, NULL) : NULL;
@@ -129,7 +131,7 @@
 }
 
 static void read_policy(pw_planner *pl, const json_t *spec) {
-  pl->weights = pwjson_number(spec, "weights_bytes_per_s", 0);
+  pl->weights_rate = pwjson_number(spec, "weights_bytes_per_s", 0);
   pl->loads_at_once =
       (int)pwjson_number(spec, "loads_at_once", PWPL_LOADS_AT_ONCE);
 }
@@ -151,14 +153,14 @@
 
 void pwpl_read(pw_planner *pl) {
   int adapters = 0;
-  if (pl->read != pwres_revision(pl->res))
-    pl->passed = 0; /* whoever asked: the next pass is due */
-  if (pl->read < pwres_floor(pl->res))
+  if (pl->read_revision != pwres_revision(pl->res))
+    pl->passed_at = 0; /* the next pass is due at once */
+  if (pl->read_revision < pwres_floor(pl->res))
     pwpl_clear(pl);
-  for (const pw_resource *one = pwres_after(pl->res, pl->read); one;
+  for (const pw_resource *one = pwres_after(pl->res, pl->read_revision); one;
        one = one->next)
     read_one(pl, one, &adapters);
   if (adapters)
     read_adapters(pl);
-  pl->read = pwres_revision(pl->res);
+  pl->read_revision = pwres_revision(pl->res);
 }
