--- a/packages/control/pwapi.c
+++ b/packages/control/pwapi.c
@@ -1,4 +1,5 @@
-/* pwapi.c: the resource API's requests. */
+/* pwapi.c: API calls of a control instance: reading requests, waiting,
+** answering. */
 #include "pwapi.h"
 
 #include "pwbuf.h"
@@ -43,15 +44,16 @@
   return p;
 }
 
-/* Reads {spec, version} into a put. Without a version any will do. */
+/* Reads {spec, version} into a put. Without a version the put applies to any
+** version of the resource. */
 static const char *read_put(const json_t *doc, Pw__Put *p) {
   const json_t *spec = json_object_get(doc, "spec");
   const json_t *version = json_object_get(doc, "version");
   p->remove = json_is_true(json_object_get(doc, "delete"));
   if (!p->remove && !json_is_object(spec))
-    return "spec: an object is needed";
+    return "spec: a JSON object is needed";
   if (version && (!json_is_integer(version) || json_integer_value(version) < 0))
-    return "version: a number from 0 is allowed";
+    return "version: a whole number of 0 or more is needed";
   p->any_version = version == NULL;
   p->version = version ? (uint64_t)json_integer_value(version) : 0;
   if (!p->remove) {
@@ -76,7 +78,7 @@
   const json_t *list = json_object_get(doc, "resources");
   if (!json_is_array(list) || json_array_size(list) == 0 ||
       json_array_size(list) > PUTS_MAX)
-    return "resources: a list of 1 to 10000 is needed";
+    return "resources: a list of 1 to 10000 items is needed";
   json_array_foreach(list, i, item) {
     const char *kind = json_string_value(json_object_get(item, "kind"));
     const char *name = json_string_value(json_object_get(item, "name"));
@@ -130,7 +132,7 @@
   for (size_t i = 0; i < ch->n_puts; i++) {
     if (!pwres_is_leaders(ch->puts[i]->kind))
       continue;
-    snprintf(message, cap, "kind: %s is written by the control leader alone",
+    snprintf(message, cap, "kind: %s is written only by the control leader",
              ch->puts[i]->kind);
     return PW_E_DENIED;
   }
@@ -171,7 +173,7 @@
   return PW_E_BODY;
 }
 
-/* Splits what follows ROOT into kind and name. */
+/* Splits the path after ROOT into kind and name. */
 static pw_code read_path(const char *path, pw_api_call *c) {
   const char *rest = path + strlen(ROOT);
   if (!rest[0])
@@ -187,7 +189,7 @@
   return pwres_is_kind(c->kind) ? PW_OK : PW_E_PATH;
 }
 
-/* {version, over_s} */
+/* Reads {version, over_s}. */
 static const char *read_order(const json_t *doc, pw_rollout_order *out) {
   const char *version = json_string_value(json_object_get(doc, "version"));
   double over_s = json_number_value(json_object_get(doc, "over_s"));
@@ -200,7 +202,7 @@
   return NULL;
 }
 
-/* What follows ROLLOUT_ROOT names a service. */
+/* Reads a request whose path has a service name after ROLLOUT_ROOT. */
 static pw_code read_rollout(pw_http *h, pw_api_call *c, char *message,
                             size_t cap) {
   const char *service = pwserve_path(h) + strlen(ROLLOUT_ROOT);
@@ -287,7 +289,7 @@
 
 /* --- waiting and answering --- */
 
-static void let_go(pw_api_call *c) {
+static void release(pw_api_call *c) {
   pthread_mutex_lock(&c->lock);
   int left = --c->refs;
   pthread_mutex_unlock(&c->lock);
@@ -337,7 +339,7 @@
   pthread_mutex_lock(&c->lock);
   c->h = NULL;
   pthread_mutex_unlock(&c->lock);
-  let_go(c);
+  release(c);
 }
 
 static void wake(pw_api_call *c) {
@@ -346,7 +348,7 @@
   if (c->h)
     pwserve_wake(c->h);
   pthread_mutex_unlock(&c->lock);
-  let_go(c);
+  release(c);
 }
 
 void pwapi_answer(pw_api_call *c, int status, json_t *value) {
--- a/packages/control/pwcanaries.c
+++ b/packages/control/pwcanaries.c
@@ -1,4 +1,4 @@
-/* pwcanaries.c: services that are rolled out to targets of another version. */
+/* pwcanaries.c: rollouts of services to targets of another version. */
 #include "pwcanaries.h"
 
 #include "pwapi.h"
@@ -12,57 +12,60 @@
 #include <uthash.h>
 
 #define KEY_BYTES (PW_NAME_MAX + 40)
-#define PASS_MS 100 /* between two looks */
+#define CHECK_MS 100 /* interval of checks on the running rollouts */
 
-/* The same order within this time of the first is the first one, sent again. */
-#define RESEND_MS 15000
+/* An order for a version that was reverted is a repetition of the first
+** order within this time of it, ms; later it begins a new rollout. */
+#define REPEAT_MS 15000
 
-/* One as its resource says. */
+/* A rollout as its resource has it. */
 typedef struct spec {
   char service[PW_NAME_MAX];
   char version[PW_NAME_MAX];
   pw_canary canary;
   int64_t over_ms;
-  int64_t elapsed_ms; /* when it was written ... */
-  int64_t written;    /* ... by the writer's wall clock, ms */
+  /* how long it had gone on when the resource was written, ms ... */
+  int64_t elapsed_ms;
+  int64_t written; /* ... and when that was by the writer's wall clock, ms */
   uint64_t begun;
   uint64_t resource_version;
 } spec;
 
-/* What one gateway has seen on one route. */
-typedef struct seen {
+/* Sums of the answers that one gateway received on one route. */
+typedef struct route_sum {
   char route[PW_NAME_MAX];
   pw_canary_route sum;
-} seen;
+} route_sum;
 
-/* All that one gateway has seen of one roll-out. */
+/* Sums of the answers that one gateway received during one rollout. */
 typedef struct report {
-  char key[KEY_BYTES]; /* of the service, the roll-out and the gateway's life */
+  char key[KEY_BYTES]; /* service, rollout and incarnation of the gateway */
   char service[PW_NAME_MAX];
   uint64_t begun;
-  seen route[PWCANARY_ROUTES_MAX];
+  route_sum route[PWCANARY_ROUTES_MAX];
   int nroutes;
   UT_hash_handle hh;
 } report;
 
-/* A roll-out that this instance carries out. */
-typedef struct under_way {
+/* A running rollout that this instance carries out as leader. */
+typedef struct running {
   char service[PW_NAME_MAX];
   uint64_t begun;
-  int64_t led_at, elapsed_ms; /* it had gone on for so long then */
+  /* when this instance took it on, and how long it had gone on then, ms */
+  int64_t since, elapsed_ms;
   int share;
-  int64_t share_at; /* when the share was seen first, ms */
-  struct under_way *next;
-} under_way;
+  int64_t share_at; /* when the share was read first, ms */
+  struct running *next;
+} running;
 
 struct pw_canaries {
   const pw_res *res;
   const pw_watch *watch;
   double expose_share;
   report *reports;
-  under_way *list;
+  running *list;
   int is_proposed;
-  int64_t passed_at;
+  int64_t checked_at;
 };
 
 pw_canaries *pwcanaries_new(const pw_res *res, const pw_watch *watch,
@@ -74,9 +77,9 @@
   return c;
 }
 
-static void forget(pw_canaries *c) {
+static void drop_running(pw_canaries *c) {
   while (c->list) {
-    under_way *u = c->list;
+    running *u = c->list;
     c->list = u->next;
     free(u);
   }
@@ -93,15 +96,15 @@
 void pwcanaries_free(pw_canaries *c) {
   if (!c)
     return;
-  forget(c);
+  drop_running(c);
   drop_reports(c);
   free(c);
 }
 
 void pwcanaries_lead(pw_canaries *c, int64_t now) {
-  forget(c);
+  drop_running(c);
   c->is_proposed = 0;
-  c->passed_at = now;
+  c->checked_at = now;
 }
 
 /* --- resources --- */
@@ -139,7 +142,8 @@
   return text;
 }
 
-/* Written only over what was read: of two writers the second is refused. */
+/* The change applies only to the resource version that was read: of two
+** concurrent writers the second is refused. */
 static Pw__Change *change_to(const spec *s) {
   char *text = write_spec(s);
   Pw__Change *ch = pwapi_one(PW_KIND_SERVICE_ROLLOUT, s->service, text);
@@ -161,8 +165,9 @@
 
 /* --- time --- */
 
-/* So long it has gone on by all that was written; a wall clock that jumped counts for no more
-** than the whole of it. */
+/* How long the rollout has gone on by the stored times. If the wall clock
+** has jumped, the time since the resource was written counts as over_ms at
+** most. */
 static int64_t elapsed_by_wall(const spec *s) {
   int64_t since = pwclock_wall_ms() - s->written;
   if (since < 0)
@@ -170,18 +175,18 @@
   return s->elapsed_ms + (since < s->over_ms ? since : s->over_ms);
 }
 
-static under_way *under_way_of(pw_canaries *c, const spec *s, int64_t now) {
-  under_way *u = c->list;
+static running *running_of(pw_canaries *c, const spec *s, int64_t now) {
+  running *u = c->list;
   while (u && (u->begun != s->begun || strcmp(u->service, s->service) != 0))
     u = u->next;
   if (!u) {
     u = pw_alloc(sizeof *u);
-    *u = (under_way){.begun = s->begun,
-                     .led_at = now,
-                     .elapsed_ms = elapsed_by_wall(s),
-                     .share = s->canary.share,
-                     .share_at = now,
-                     .next = c->list};
+    *u = (running){.begun = s->begun,
+                   .since = now,
+                   .elapsed_ms = elapsed_by_wall(s),
+                   .share = s->canary.share,
+                   .share_at = now,
+                   .next = c->list};
     pw_copy(u->service, sizeof u->service, s->service);
     c->list = u;
   }
@@ -192,23 +197,23 @@
   return u;
 }
 
-static int64_t elapsed(const under_way *u, int64_t now) {
-  return u->elapsed_ms + now - u->led_at;
+static int64_t elapsed(const running *u, int64_t now) {
+  return u->elapsed_ms + now - u->since;
 }
 
 /* --- orders --- */
 
-static int count(const pw_res *res) {
+static int count_rollouts(const pw_res *res) {
   int n = 0;
   for (const pw_resource *one = pwres_first(res); one; one = one->next)
     n += pwres_is(one, PW_KIND_SERVICE_ROLLOUT);
   return n;
 }
 
-static int is_resent(const spec *s, const pw_rollout_order *o) {
+static int is_repeated(const spec *s, const pw_rollout_order *o) {
   return !strcmp(s->version, o->version) &&
          (s->canary.state != PWCANARY_REVERTED ||
-          elapsed_by_wall(s) < RESEND_MS);
+          elapsed_by_wall(s) < REPEAT_MS);
 }
 
 pw_code pwcanaries_order(pw_canaries *c, const pw_rollout_order *o,
@@ -216,27 +221,28 @@
   spec s = {0};
   *out = NULL;
   int has = read_of(c->res, o->service, &s);
-  if (has && is_resent(&s, o))
+  if (has && is_repeated(&s, o))
     return PW_OK;
   if (has && s.canary.state == PWCANARY_RUNNING) {
-    snprintf(why, cap, "%s is being rolled out to %s", o->service, s.version);
+    snprintf(why, cap, "%s is already being rolled out to version %s",
+             o->service, s.version);
     return PW_E_CONFLICT;
   }
-  if (!has && count(c->res) >= PW_ROLLOUTS_MAX)
+  if (!has && count_rollouts(c->res) >= PW_ROLLOUTS_MAX)
     return PW_E_TOO_MANY;
   const pw_resource *old =
       pwres_find(c->res, PW_KIND_SERVICE_ROLLOUT, o->service);
-  spec fresh = {.over_ms = o->over_ms,
-                .written = pwclock_wall_ms(),
-                .resource_version = has ? old->version : 0};
-  fresh.begun = (uint64_t)fresh.written;
-  pw_copy(fresh.service, sizeof fresh.service, o->service);
-  pw_copy(fresh.version, sizeof fresh.version, o->version);
-  *out = change_to(&fresh);
+  spec next = {.over_ms = o->over_ms,
+               .written = pwclock_wall_ms(),
+               .resource_version = has ? old->version : 0};
+  next.begun = (uint64_t)next.written;
+  pw_copy(next.service, sizeof next.service, o->service);
+  pw_copy(next.version, sizeof next.version, o->version);
+  *out = change_to(&next);
   return PW_OK;
 }
 
-/* --- what gateways have seen --- */
+/* --- reports of gateways --- */
 
 static report *report_of(pw_canaries *c, const Pw__Answers *a,
                          uint64_t incarnation) {
@@ -255,19 +261,19 @@
   return r;
 }
 
-static seen *seen_on(report *r, const char *route) {
+static route_sum *sum_on_route(report *r, const char *route) {
   for (int i = 0; i < r->nroutes; i++)
     if (!strcmp(r->route[i].route, route))
       return &r->route[i];
   if (r->nroutes == PWCANARY_ROUTES_MAX)
     return &r->route[PWCANARY_ROUTES_MAX - 1];
-  seen *s = &r->route[r->nroutes++];
+  route_sum *s = &r->route[r->nroutes++];
   pw_copy(s->route, sizeof s->route, route);
   return s;
 }
 
-/* Sums only rise: one that comes late changes nothing. */
-static void raise_to(double *at, uint64_t value) {
+/* Sums only rise, so a report that arrives late changes nothing. */
+static void raise_sum(double *at, uint64_t value) {
   if ((double)value > *at)
     *at = (double)value;
 }
@@ -279,22 +285,23 @@
     spec s;
     if (!read_of(c->res, a->service, &s) || s.begun != a->begun)
       continue;
-    seen *at = seen_on(report_of(c, a, e->incarnation), a->route);
-    raise_to(&at->sum.good_to, a->good_to);
-    raise_to(&at->sum.bad_to, a->bad_to);
-    raise_to(&at->sum.good_from, a->good_from);
-    raise_to(&at->sum.bad_from, a->bad_from);
+    route_sum *at = sum_on_route(report_of(c, a, e->incarnation), a->route);
+    raise_sum(&at->sum.good_to, a->good_to);
+    raise_sum(&at->sum.bad_to, a->bad_to);
+    raise_sum(&at->sum.good_from, a->good_from);
+    raise_sum(&at->sum.bad_from, a->bad_from);
   }
 }
 
-/* Over all gateways, route by route. */
-static void sum_up(pw_canaries *c, const spec *s, report *out) {
+/* Adds up the reports of all gateways, route by route. */
+static void sum_reports(pw_canaries *c, const spec *s, report *out) {
   *out = (report){.begun = s->begun};
   for (report *r = c->reports; r; r = r->hh.next) {
     if (r->begun != s->begun || strcmp(r->service, s->service) != 0)
       continue;
     for (int i = 0; i < r->nroutes; i++)
-      pwcanary_add(&seen_on(out, r->route[i].route)->sum, &r->route[i].sum);
+      pwcanary_add(&sum_on_route(out, r->route[i].route)->sum,
+                   &r->route[i].sum);
   }
 }
 
@@ -305,10 +312,10 @@
   return all;
 }
 
-/* --- the leader's part --- */
+/* --- decisions of the leader --- */
 
-static void tell(const spec *s, const pw_canary *next, double ratio,
-                 const report *sum) {
+static void log_change(const spec *s, const pw_canary *next, double ratio,
+                       const report *sum) {
   pw_canary_route all = total_of(sum);
   pwlog(LOG_NOTICE, "service-rollout",
         "service=%s version=%s state=%s share=%d ratio=%.3g good=%.0f bad=%.0f "
@@ -317,13 +324,13 @@
         ratio, all.good_to, all.bad_to, all.good_from, all.bad_from);
 }
 
-/* The change that a roll-out needs now, or NULL. */
-static Pw__Change *tend(pw_canaries *c, spec *s, int64_t now) {
-  under_way *u = under_way_of(c, s, now);
+/* The change that a rollout needs now, or NULL. */
+static Pw__Change *advance(pw_canaries *c, spec *s, int64_t now) {
+  running *u = running_of(c, s, now);
   report sum;
   pw_canary_route route[PWCANARY_ROUTES_MAX];
   pw_canary next;
-  sum_up(c, s, &sum);
+  sum_reports(c, s, &sum);
   for (int i = 0; i < sum.nroutes; i++)
     route[i] = sum.route[i].sum;
   pw_canary_ask ask = {.over_ms = s->over_ms,
@@ -336,7 +343,7 @@
                 &ask.slots_from);
   if (!pwcanary_next(&s->canary, &ask, &next))
     return NULL;
-  tell(s, &next, pwcanary_ratio(route, sum.nroutes), &sum);
+  log_change(s, &next, pwcanary_ratio(route, sum.nroutes), &sum);
   s->canary = next;
   s->elapsed_ms = ask.elapsed_ms;
   s->written = pwclock_wall_ms();
@@ -344,9 +351,9 @@
 }
 
 Pw__Change *pwcanaries_next(pw_canaries *c, int64_t now) {
-  if (c->is_proposed || now - c->passed_at < PASS_MS)
+  if (c->is_proposed || now - c->checked_at < CHECK_MS)
     return NULL;
-  c->passed_at = now;
+  c->checked_at = now;
   int n = 0;
   for (const pw_resource *one = pwres_first(c->res); one; one = one->next) {
     spec s;
@@ -356,7 +363,7 @@
     if (s.canary.state != PWCANARY_RUNNING)
       continue;
     n++;
-    Pw__Change *ch = tend(c, &s, now);
+    Pw__Change *ch = advance(c, &s, now);
     c->is_proposed = ch != NULL;
     if (ch)
       return ch;
@@ -370,17 +377,16 @@
   c->is_proposed = 0;
 }
 
-static json_t *one_json(pw_canaries *c, const spec *s, int64_t now) {
+static json_t *rollout_json(pw_canaries *c, const spec *s, int64_t now) {
   report sum;
-  sum_up(c, s, &sum);
+  sum_reports(c, s, &sum);
   pw_canary_route all = total_of(&sum);
   int runs = s->canary.state == PWCANARY_RUNNING;
   return json_pack(
       "{s:s,s:s,s:s,s:i,s:I,s:I,s:f,s:f}", "service", s->service, "version",
       s->version, "state", pwcanary_state_name(s->canary.state), "share",
       s->canary.share, "over_ms", (json_int_t)s->over_ms, "elapsed_ms",
-      (json_int_t)(runs ? elapsed(under_way_of(c, s, now), now)
-                        : s->elapsed_ms),
+      (json_int_t)(runs ? elapsed(running_of(c, s, now), now) : s->elapsed_ms),
       "good", all.good_to, "bad", all.bad_to);
 }
 
@@ -391,7 +397,7 @@
     if (!pwres_is(one, PW_KIND_SERVICE_ROLLOUT))
       continue;
     read_spec(one, &s);
-    json_array_append_new(list, one_json(c, &s, now));
+    json_array_append_new(list, rollout_json(c, &s, now));
   }
   return list;
 }
