--- a/packages/control/pwbusy.c
+++ b/packages/control/pwbusy.c
@@ -1,17 +1,18 @@
-/* pwbusy.c: says what fills a control instance's link while it is busy. */
+/* pwbusy.c: logs what fills the link of a control instance while the link is
+** busy. */
 #include "pwbusy.h"
 
 #include "pwcons.h"
 #include "pwlog.h"
 
 #define PERIOD_MS 1000
-#define BUSY_SHARE 0.5 /* of the link, in a period */
+#define BUSY_SHARE 0.5 /* share of the link, over a period */
 #define BITS_PER_BYTE 8
 #define BITS_PER_MBIT 1000000.0
 
-/* An append that was answered later than this part of a lease is worth a line: four
-** more such and the lease is lost. */
-#define SLOW_PART 5
+/* A round trip longer than a lease divided by this is logged: after four
+** more such delays the lease is lost. */
+#define SLOW_LEASE_PART 5
 
 static const pw_counter kinds[PW_BUSY_KINDS] = {PWC_GROUP_OUT, PWC_NOTICE_OUT,
                                                 PWC_DOCUMENT_OUT, PWC_CALL_OUT};
@@ -25,9 +26,9 @@
 }
 
 void pwbusy_tick(pw_busy *b, const pw_proc *p, int64_t now) {
-  int64_t took = now - b->since;
+  int64_t elapsed_ms = now - b->since;
   int64_t sent[PW_BUSY_KINDS], sum = 0;
-  if (took < PERIOD_MS)
+  if (elapsed_ms < PERIOD_MS)
     return;
   for (int i = 0; i < PW_BUSY_KINDS; i++) {
     int64_t all = pwcount_get(p->counters, kinds[i]);
@@ -36,13 +37,13 @@
     sum += sent[i];
   }
   double room = p->set->control_link * BITS_PER_MBIT / BITS_PER_BYTE *
-                (double)took / PERIOD_MS * BUSY_SHARE;
+                (double)elapsed_ms / PERIOD_MS * BUSY_SHARE;
   if ((room > 0 && (double)sum > room) ||
-      b->round_ms > p->set->control_lease / SLOW_PART)
+      b->round_ms > p->set->control_lease / SLOW_LEASE_PART)
     pwlog(LOG_NOTICE, "link-busy",
           "ms=%lld group=%lld notices=%lld documents=%lld calls=%lld "
           "slowest_round_ms=%lld",
-          (long long)took, (long long)sent[0], (long long)sent[1],
+          (long long)elapsed_ms, (long long)sent[0], (long long)sent[1],
           (long long)sent[2], (long long)sent[3], (long long)b->round_ms);
   b->since = now;
   b->round_ms = 0;
--- a/packages/control/pwhand.c
+++ b/packages/control/pwhand.c
@@ -1,4 +1,4 @@
-/* pwhand.c: the configuration's way from a control instance to the gateways that want it. */
+/* pwhand.c: sends the configuration document to the gateways that want it. */
 #include "pwhand.h"
 
 #include "pwbuf.h"
@@ -7,18 +7,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A gateway. */
+/* A gateway that wants or holds the document. */
 typedef struct receiver {
-  pw_spread_place place; /* the first: all[] points to it */
+  pw_spread_place place; /* must be the first field: all[] points to it */
   pw_peer peer;
   uint64_t incarnation;
-  char relay[PW_NAME_MAX]; /* where it hands documents on; "": nowhere */
+  /* address at which it serves documents to other gateways; "": it serves
+  ** none */
+  char relay[PW_NAME_MAX];
 } receiver;
 
 struct pw_hand {
   pw_sock *listener;
   const pw_doc *doc;
-  pw_spread_place **all; /* each is a receiver's */
+  pw_spread_place **all; /* each points into a receiver */
   size_t n, cap;
   uint64_t last_id;
 };
@@ -59,11 +61,11 @@
   one->place.id = ++h->last_id;
   if (h->n == h->cap) {
     h->cap = h->cap ? h->cap * 2 : 16;
-    pw_spread_place **grown = pw_alloc(sizeof *grown * h->cap);
+    pw_spread_place **larger = pw_alloc(sizeof *larger * h->cap);
     if (h->n)
-      memcpy(grown, h->all, sizeof *grown * h->n);
+      memcpy(larger, h->all, sizeof *larger * h->n);
     free(h->all);
-    h->all = grown;
+    h->all = larger;
   }
   h->all[h->n++] = &one->place;
   return one;
@@ -94,8 +96,7 @@
   pwwire_send(h->listener, &to->peer, &e);
 }
 
-static void send_holder(pw_hand *h, const receiver *to,
-                        const receiver *holder) {
+static void refer_to(pw_hand *h, const receiver *to, const receiver *holder) {
   Pw__Document d = PW__DOCUMENT__INIT;
   d.version = pwdoc_version(h->doc);
   d.ask = (char *)holder->relay;
@@ -107,15 +108,15 @@
   pw_spread_place *to;
   while ((to = pwspread_first(h->all, h->n, now)) != NULL) {
     Pw__Document d = *pwdoc_packed(h->doc, to->holds);
-    int own;
+    int from_here;
     pw_spread_place *holder =
         pwspread_giver(to, h->all, h->n, newest, d.data.len,
-                       pwpace_has_room(link, now), now, &own);
-    if (!holder && !own)
+                       pwpace_has_room(link, now), now, &from_here);
+    if (!holder && !from_here)
       return;
     pwspread_serve(to, holder, now);
     if (holder) {
-      send_holder(h, (receiver *)to, (receiver *)holder);
+      refer_to(h, (receiver *)to, (receiver *)holder);
       continue;
     }
     send(h, (receiver *)to, &d);
--- a/packages/control/pwleave.c
+++ b/packages/control/pwleave.c
@@ -1,25 +1,25 @@
-/* pwleave.c: targets that say that they leave, and wait for their answer. */
+/* pwleave.c: acknowledges targets that report that they leave. */
 #include "pwleave.h"
 
 #include "pwlog.h"
 
 #include <stdlib.h>
 
-/* Nobody has said by then that it has it, ms: a target turns to another instance after a
-** second. */
+/* Time for a confirmation, ms. A target that has no answer turns to another
+** instance after a second. */
 #define CONFIRM_MS 400
 
-typedef struct waiting {
+typedef struct waiter {
   pw_api_call *call;
   uint64_t number;
   int64_t since;
-  struct waiting *next;
-} waiting;
+  struct waiter *next;
+} waiter;
 
 struct pw_leave {
   pw_watch *watch;
   pw_counters *counters;
-  waiting *first;
+  waiter *first;
 };
 
 pw_leave *pwleave_new(pw_watch *w, pw_counters *counters) {
@@ -38,7 +38,7 @@
 
 void pwleave_end(pw_leave *l) {
   while (l->first) {
-    waiting *one = l->first;
+    waiter *one = l->first;
     l->first = one->next;
     pwapi_fail(one->call, PW_E_UNHEARD, "", "unknown", NULL);
     free(one);
@@ -54,8 +54,8 @@
     acknowledge(call);
     return;
   }
-  waiting *one = pw_alloc(sizeof *one);
-  *one = (waiting){call, number, now, l->first};
+  waiter *one = pw_alloc(sizeof *one);
+  *one = (waiter){call, number, now, l->first};
   l->first = one;
 }
 
@@ -70,16 +70,16 @@
 }
 
 void pwleave_work(pw_leave *l, int is_member, int64_t now) {
-  uint64_t held = pwwatch_held(l->watch);
-  for (waiting **at = &l->first; *at;) {
-    waiting *one = *at;
-    int is_held = held >= one->number;
-    if (!is_held && now - one->since < CONFIRM_MS) {
+  uint64_t confirmed = pwwatch_held(l->watch);
+  for (waiter **at = &l->first; *at;) {
+    waiter *one = *at;
+    int is_confirmed = confirmed >= one->number;
+    if (!is_confirmed && now - one->since < CONFIRM_MS) {
       at = &one->next;
       continue;
     }
     *at = one->next;
-    if (is_held)
+    if (is_confirmed)
       acknowledge(one->call);
     else
       give_up(l, one->call, is_member);
--- a/packages/control/pwleave.h
+++ b/packages/control/pwleave.h
@@ -1,8 +1,9 @@
-/* pwleave.h: targets that say that they leave, and wait for their answer.
+/* pwleave.h: acknowledges targets that report that they leave.
 **
-** What was answered must not end with the process that answered: another control instance
-** has it first. A member of the group answers without, too, when none says so in time, since
-** gateways hear of it from the member itself. */
+** An acknowledged report must not be lost with the process that acknowledged
+** it, so another control instance must confirm it first. If none does in
+** time, a member of the group acknowledges all the same, since gateways
+** receive the report from the member itself. */
 #ifndef PWLEAVE_H
 #define PWLEAVE_H
 
@@ -13,14 +14,16 @@
 
 pw_leave *pwleave_new(pw_watch *w, pw_counters *counters);
 
-/* Fails those that wait. */
+/* pwleave_end fails the calls that wait; pwleave_free also frees all. */
 void pwleave_free(pw_leave *l);
 void pwleave_end(pw_leave *l);
 
-/* A call to be answered when another instance has all up to this number; 0: now. */
+/* Takes a call that is acknowledged once another instance has confirmed all
+** updates up to this number; 0: at once. */
 void pwleave_add(pw_leave *l, pw_api_call *call, uint64_t number, int64_t now);
 
-/* Answers those that can be by now; `is_member`: of the group. */
+/* Answers the calls that were confirmed or waited too long; `is_member`:
+** this instance is a member of the group. */
 void pwleave_work(pw_leave *l, int is_member, int64_t now);
 
 #endif
--- a/packages/control/pwpublish.c
+++ b/packages/control/pwpublish.c
@@ -1,11 +1,13 @@
-/* pwpublish.c: the configuration documents that the leader is asked to take. */
+/* pwpublish.c: publishes new configuration documents through the log of the
+** control group. */
 #include "pwpublish.h"
 
 #include "pwlog.h"
 
 #include <stdlib.h>
 
-#define DECIDE_MS 3000 /* a proposal that is not decided by then is not known */
+/* time for a proposal to be decided; its outcome is unknown after that */
+#define DECIDE_MS 3000
 
 typedef struct pending {
   pw_api_call *call;
@@ -16,8 +18,9 @@
 struct pw_publish {
   pw_group *g;
   const pw_doc *doc;
-  pending *first; /* the oldest; it is the one proposed, if any is */
-  uint64_t index; /* of the proposal under way; 0: none */
+  /* the oldest call; its document is the one in flight, if any is */
+  pending *first;
+  uint64_t index; /* log index of the proposal in flight; 0: there is none */
   uint64_t term;
 };
 
@@ -45,7 +48,8 @@
 
 static void fail_all(pw_publish *p) {
   while (p->first)
-    pwapi_fail(take_first(p), PW_E_UNKNOWN, "it may or may not be taken",
+    pwapi_fail(take_first(p), PW_E_UNKNOWN,
+               "the outcome of publishing the configuration is unknown",
                "unknown", NULL);
   p->index = 0;
 }
@@ -54,8 +58,8 @@
   fail_all(p);
 }
 
-/* What is held answers every call for its version or an older one. */
-static void answer_held(pw_publish *p) {
+/* Answers every call for the version that is committed or an older one. */
+static void answer_committed(pw_publish *p) {
   for (pending **at = &p->first; *at;) {
     pending *one = *at;
     if (one->call->document_version > pwdoc_version(p->doc)) {
@@ -95,7 +99,7 @@
     at = &(*at)->next;
   *at = pw_alloc(sizeof **at);
   **at = (pending){.call = call, .since = now};
-  answer_held(p);
+  answer_committed(p);
   propose(p, now);
 }
 
@@ -103,15 +107,15 @@
                        const Pw__Outcome *o) {
   if (!p->index || e->index < p->index)
     return;
-  int ours = e->index == p->index && e->term == p->term;
+  int is_own = e->index == p->index && e->term == p->term;
   p->index = 0;
-  if (!ours) { /* another leader's entry stands there */
+  if (!is_own) { /* another leader has an entry at this index */
     fail_all(p);
     return;
   }
   if (o && o->code != PW_OK && o->code != PW_E_STALE)
     pwapi_fail(take_first(p), (pw_code)o->code, o->message, "not-run", NULL);
-  answer_held(p); /* a stale base is proposed again */
+  answer_committed(p); /* a document whose base was stale is proposed again */
 }
 
 void pwpublish_tick(pw_publish *p, int64_t now) {
--- a/packages/control/pwpublish.h
+++ b/packages/control/pwpublish.h
@@ -1,5 +1,5 @@
-/* pwpublish.h: the configuration documents that the leader is asked to take,
-** one after the other. */
+/* pwpublish.h: publishes new configuration documents through the log of the
+** control group, one after the other, on the leader. */
 #ifndef PWPUBLISH_H
 #define PWPUBLISH_H
 
@@ -8,21 +8,23 @@
 
 typedef struct pw_publish pw_publish;
 
-/* `doc` is the document applied here. */
+/* `doc` is the configuration document applied here. */
 pw_publish *pwpublish_new(pw_group *g, const pw_doc *doc);
 void pwpublish_free(pw_publish *p);
 
-/* A valid document came; the call is answered once it or a newer one is held by
-** a quorum. Only for a leader with its lease. */
+/* Takes a call with a valid document. It is answered once that document or a
+** newer one is committed by a quorum. Only for a leader whose lease is
+** valid. */
 void pwpublish_add(pw_publish *p, pw_api_call *call, int64_t now);
 
-/* An entry was applied; `o` is NULL unless it gave an outcome. */
+/* A log entry was applied; `o` is its outcome, or NULL if it had none. */
 void pwpublish_applied(pw_publish *p, const Pw__Entry *e, const Pw__Outcome *o);
 
-/* Proposes the next one; gives up what is not decided in time. */
+/* Proposes the next document, and fails the calls that were not decided in
+** time. */
 void pwpublish_tick(pw_publish *p, int64_t now);
 
-/* Every call that waits gets its answer. */
+/* Fails all calls that wait. */
 void pwpublish_end(pw_publish *p);
 
 #endif
--- a/packages/control/pwreads.c
+++ b/packages/control/pwreads.c
@@ -1,26 +1,27 @@
-/* pwreads.c: reads of the configuration, answered by whichever control instance is asked. */
+/* pwreads.c: reads of the configuration, answered by any control instance. */
 #include "pwreads.h"
 
 #include "pwsitecall.h"
 
 #include <stdlib.h>
 
-/* A read that is not confirmed by then goes to the leader itself, ms: a third of the second
-** after which a caller turns to the next instance. */
+/* A read that is not confirmed by then is redirected to the leader, ms. A
+** caller turns to the next instance after a second, so this leaves it time
+** for the redirection. */
 #define CONFIRM_MS 300
 
-typedef struct waiting {
+typedef struct waiter {
   pw_api_call *call;
-  uint64_t number; /* of the question it waits for */
-  uint64_t index;  /* to be applied first; 0: not told yet */
+  uint64_t number; /* number of the Confirm message that it waits for */
+  uint64_t index;  /* log index that must be applied first; 0: not known yet */
   int64_t since;
-  struct waiting *next;
-} waiting;
+  struct waiter *next;
+} waiter;
 
 struct pw_reads {
   pw_group *g;
-  waiting *first;
-  uint64_t asked; /* number of the last question */
+  waiter *first;
+  uint64_t last_number; /* number of the last Confirm message */
 };
 
 pw_reads *pwreads_new(pw_group *g) {
@@ -38,17 +39,17 @@
 
 void pwreads_end(pw_reads *r) {
   while (r->first) {
-    waiting *one = r->first;
+    waiter *one = r->first;
     r->first = one->next;
     pwapi_fail(one->call, PW_E_NOT_LEADER, "", "not-run", NULL);
     free(one);
   }
 }
 
-/* 0: there is no leader to ask. */
+/* Asks the leader for its commit index; 0: no leader is known. */
 static int ask(pw_reads *r) {
   Pw__Confirm m = PW__CONFIRM__INIT;
-  m.number = ++r->asked;
+  m.number = ++r->last_number;
   Pw__Envelope e = PW_ENVELOPE(CONFIRM, confirm, &m);
   return pwgroup_ask_leader(r->g, &e) == 0;
 }
@@ -62,8 +63,8 @@
     pwsitecall_to_leader(call, r->g);
     return;
   }
-  waiting *one = pw_alloc(sizeof *one);
-  *one = (waiting){call, r->asked, 0, now, r->first};
+  waiter *one = pw_alloc(sizeof *one);
+  *one = (waiter){call, r->last_number, 0, now, r->first};
   r->first = one;
 }
 
@@ -77,9 +78,10 @@
   pwwire_send(sock, to, &e);
 }
 
-/* Numbers rise: an answer to a question holds for all that were asked before it. */
+/* Numbers rise with time: an answer holds for all reads that came before its
+** question. */
 static void confirmed(pw_reads *r, const Pw__Confirmed *m) {
-  for (waiting *one = r->first; one && m->leads; one = one->next)
+  for (waiter *one = r->first; one && m->leads; one = one->next)
     if (!one->index && one->number <= m->number)
       one->index = m->index;
 }
@@ -93,15 +95,15 @@
 }
 
 void pwreads_work(pw_reads *r, int64_t now) {
-  for (waiting **at = &r->first; *at;) {
-    waiting *one = *at;
-    int may = one->index && pwgroup_applied(r->g) >= one->index;
-    if (!may && now - one->since < CONFIRM_MS) {
+  for (waiter **at = &r->first; *at;) {
+    waiter *one = *at;
+    int is_ready = one->index && pwgroup_applied(r->g) >= one->index;
+    if (!is_ready && now - one->since < CONFIRM_MS) {
       at = &one->next;
       continue;
     }
     *at = one->next;
-    if (may)
+    if (is_ready)
       pwsitecall_read_site(one->call, r->g);
     else
       pwsitecall_to_leader(one->call, r->g);
--- a/packages/control/pwreads.h
+++ b/packages/control/pwreads.h
@@ -1,8 +1,10 @@
-/* pwreads.h: reads of the configuration, answered by whichever control instance is asked.
+/* pwreads.h: reads of the configuration, answered by any control instance.
 **
-** One that does not lead asks the leader, which must hold its lease, up to where the log
-** is committed, and answers when it has applied that much: no older than what was
-** acknowledged when the read came, and the leader's link carries none of it. */
+** An instance that does not lead asks the leader for its commit index, which
+** the leader gives only under a valid lease, and answers once it has applied
+** the log that far. The answer is so never older than what was acknowledged
+** before the read came, and the link of the leader does not carry the
+** configuration. */
 #ifndef PWREADS_H
 #define PWREADS_H
 
@@ -13,18 +15,19 @@
 
 pw_reads *pwreads_new(pw_group *g);
 
-/* Fails those that wait. */
+/* pwreads_end fails the calls that wait; pwreads_free also frees all. */
 void pwreads_free(pw_reads *r);
 void pwreads_end(pw_reads *r);
 
-/* A read came; it is answered now or later. */
+/* Takes a read, which is answered now or later. */
 void pwreads_add(pw_reads *r, pw_api_call *call, int64_t now);
 
-/* A Confirm or Confirmed came through `sock`. */
+/* Handles a Confirm or Confirmed message, received on `sock`. */
 void pwreads_message(pw_reads *r, pw_sock *sock, const pw_peer *from,
                      const Pw__Envelope *e, int64_t now);
 
-/* Answers what can be answered by now; sends to the leader who waited too long. */
+/* Answers the reads that are confirmed, and redirects those that waited too
+** long to the leader. */
 void pwreads_work(pw_reads *r, int64_t now);
 
 #endif
--- a/packages/control/pwrollcall.c
+++ b/packages/control/pwrollcall.c
@@ -1,4 +1,5 @@
-/* pwrollcall.c: calls that order a service's roll-out, or ask where it stands. */
+/* pwrollcall.c: API calls that order a rollout of a service, or read its
+** state. */
 #include "pwrollcall.h"
 
 #include <stdio.h>
@@ -26,7 +27,8 @@
   pwbuf_free(&text);
 }
 
-/* Whether the configuration names the service, or a target of it was heard. */
+/* Whether the configuration has a service of that name, or a target of it is
+** known. */
 static int is_service(const pw_control *c, const char *name) {
   size_t n;
   pw_site *site = NULL;
@@ -49,7 +51,7 @@
   if (is_service(c, call->order.service))
     rc = pwcanaries_order(c->canaries, &call->order, &ch, why, sizeof why);
   else
-    snprintf(why, sizeof why, "service: none is named %.64s",
+    snprintf(why, sizeof why, "service: no service is named %.64s",
              call->order.service);
   if (rc != PW_OK)
     pwapi_fail(call, rc, why, "not-run", NULL);
--- a/packages/control/pwrollcall.h
+++ b/packages/control/pwrollcall.h
@@ -1,14 +1,16 @@
-/* pwrollcall.h: calls that order a service's roll-out, or ask where it stands. */
+/* pwrollcall.h: API calls that order a rollout of a service, or read its
+** state. */
 #ifndef PWROLLCALL_H
 #define PWROLLCALL_H
 
 #include "pwctl.h"
 
-/* A call to the leader, under its lease: answers it, or gives the change that it waits for. */
+/* Handles a call to a leader whose lease is valid: answers the call, or
+** returns the change that must be committed first. */
 Pw__Change *pwrollcall_order(pw_control *c, pw_api_call *call);
 void pwrollcall_read(pw_control *c, pw_api_call *call);
 
-/* The change was decided well. */
+/* Answers an order whose change was committed and applied. */
 void pwrollcall_taken(pw_api_call *call);
 
 #endif
--- a/packages/control/pwrolltold.c
+++ b/packages/control/pwrolltold.c
@@ -1,4 +1,5 @@
-/* pwrolltold.c: roll-outs of services as gateways are told of them. */
+/* pwrolltold.c: rollouts of services in the form in which Notices carry them
+** to gateways. */
 #include "pwrolltold.h"
 
 #include "pwbuf.h"
--- a/packages/control/pwsitecall.c
+++ b/packages/control/pwsitecall.c
@@ -1,4 +1,4 @@
-/* pwsitecall.c: the platform's calls to a control instance. */
+/* pwsitecall.c: calls of the platform to a control instance. */
 #include "pwsitecall.h"
 
 #include "pwlog.h"
@@ -21,7 +21,7 @@
 }
 
 pw_code pwsitecall_read(pw_http *h, const pw_dialect *d, pw_api_call **out,
-                        int *of_target, char *message, size_t cap) {
+                        int *is_heartbeat, char *message, size_t cap) {
   static const pw_api_op ops[] = {[PWCALL_SITE_READ] = PW_API_SITE_READ,
                                   [PWCALL_SITE_WRITE] = PW_API_SITE_WRITE,
                                   [PWCALL_BEAT] = PW_API_BEAT,
@@ -31,13 +31,13 @@
                                   [PWCALL_ROLLOUT] = PW_API_ROLLOUT,
                                   [PWCALL_ROLLOUT_READ] = PW_API_ROLLOUT_READ};
   char id[PW_NAME_MAX];
-  *of_target = 0;
+  *is_heartbeat = 0;
   if (!d)
     return PW_E_PATH;
   pw_call_kind kind = d->read_call(pwserve_method(h), pwserve_path(h), id);
   if (kind == PWCALL_OTHER || kind == PWCALL_BAD_METHOD)
     return PW_E_PATH;
-  *of_target = kind == PWCALL_BEAT || kind == PWCALL_LEAVE;
+  *is_heartbeat = kind == PWCALL_BEAT || kind == PWCALL_LEAVE;
   pw_api_call *c = pwapi_new(ops[kind]);
   size_t n;
   const char *body = pwserve_body(h, &n);
@@ -79,11 +79,12 @@
   if (pwdoc_version(doc))
     pwapi_answer_text(call, text, n);
   else
-    pwapi_fail(call, PW_E_NOT_READY, "no configuration was taken yet",
+    pwapi_fail(call, PW_E_NOT_READY, "no configuration has been published yet",
                "not-run", NULL);
 }
 
-/* An instance that nobody hears must not keep a target from those that are heard. */
+/* Takes a heartbeat. An isolated instance refuses it, so that the target
+** turns to an instance whose updates reach the group. */
 static void take_beat(pw_api_call *call, const pw_group *g, pw_watch *w,
                       pw_leave *l, int64_t now) {
   uint64_t number = pwwatch_beat(w, &call->beat, call->op == PW_API_LEAVE, now);
--- a/packages/control/pwzones.c
+++ b/packages/control/pwzones.c
@@ -1,4 +1,5 @@
-/* pwzones.c: the availability zones that are evacuated, as the resources say. */
+/* pwzones.c: the availability zones that are evacuated, read from the
+** resources. */
 #include "pwzones.h"
 
 #include "pwbuf.h"
@@ -31,8 +32,8 @@
   z->name[z->n++] = pw_dup(name);
 }
 
-static void tell(const pw_zones *now, const pw_zones *before,
-                 const char *event) {
+static void log_added(const pw_zones *now, const pw_zones *before,
+                      const char *event) {
   for (size_t i = 0; i < now->n; i++)
     if (!pwzones_holds(before, now->name[i]))
       pwlog(LOG_NOTICE, event, "availability_zone=%s revision=%llu",
@@ -47,9 +48,9 @@
   for (const pw_resource *one = pwres_first(resources); one; one = one->next)
     if (pwres_is(one, PW_KIND_EVACUATION))
       add(&now, one->name);
-  tell(&now, z, "evacuation");
+  log_added(&now, z, "evacuation");
   z->revision = revision;
-  tell(z, &now, "evacuation-ended");
+  log_added(z, &now, "evacuation-ended");
   pwzones_free(z);
   *z = now;
 }
--- a/packages/control/pwzones.h
+++ b/packages/control/pwzones.h
@@ -1,4 +1,5 @@
-/* pwzones.h: the availability zones that are evacuated, as the resources say. */
+/* pwzones.h: the availability zones that are evacuated, read from the
+** resources. */
 #ifndef PWZONES_H
 #define PWZONES_H
 
@@ -6,14 +7,15 @@
 
 #include <stddef.h>
 
-/* {0} is empty. */
+/* A list of names; {0} is empty. */
 typedef struct pw_zones {
-  uint64_t revision; /* of the resources that were read */
+  uint64_t revision; /* of the resources from which it was read */
   char **name;
   size_t n, cap;
 } pw_zones;
 
-/* Reads them anew when the resources have changed; each that came or went is logged. */
+/* Reads the list again if the resources have changed, and logs each
+** evacuation that began or ended. */
 void pwzones_read(pw_zones *z, const pw_res *resources);
 
 int pwzones_holds(const pw_zones *z, const char *name);
