--- a/packages/control/pwwatch.c
+++ b/packages/control/pwwatch.c
@@ -72,15 +72,17 @@
   watcher *watchers;
   int nwatchers;
   pw_peers *peers;
-  pw_mesh *mesh; /* links to other control instances */
+  pw_mesh *mesh; /* other control instances, and which of them watch which */
   pw_outbox to_control, to_gateways;
   /* when newer versions were last announced to gateways, ms */
   int64_t versions_sent_at;
-  uint64_t last_number; /* number of the last update to control instances */
+  /* number of the last update that was sent to control instances */
+  uint64_t last_seq;
   /* a call waits until another instance confirms the next update */
   int must_confirm;
   int64_t gateways_changed_at; /* when a gateway came or went last, ms */
-  /* as gateways reported it; sent to those that start anew */
+  /* quarantined fingerprints as gateways reported them; sent to gateways
+  ** that start anew */
   pw_quarantine *quarantine;
   /* where in the quarantine the next list of suspects begins */
   size_t next_suspect;
@@ -89,7 +91,7 @@
   Pw__Notice table;  /* the table of all targets that was built last */
   int64_t table_built_at;
   int is_isolated;
-  /* number of the last own update that is in the table */
+  /* number of the last update of this instance that is in the table */
   uint64_t table_number;
   int in_touch; /* there is contact with a leader */
   int leads;
@@ -178,10 +180,10 @@
   to->suspects_sent_at = now;
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news what) {
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news change) {
   const pw_watch *w = arg;
-  if (what == PWQUAR_BEGUN || what == PWQUAR_RELEASED)
-    pwlog(LOG_WARNING, what == PWQUAR_BEGUN ? "quarantined" : "released",
+  if (change == PWQUAR_BEGUN || change == PWQUAR_RELEASED)
+    pwlog(LOG_WARNING, change == PWQUAR_BEGUN ? "quarantined" : "released",
           "sign=%016llx in_quarantine=%d", (unsigned long long)fingerprint,
           pwquar_count(w->quarantine));
 }
@@ -192,7 +194,7 @@
   n->site = pwdoc_version(w->doc);
   n->in_touch = w->in_touch;
   n->watch_ms = (uint32_t)notice_interval_ms(w);
-  n->number = to->gossip[0] ? 0 : n->full ? w->table_number : w->last_number;
+  n->number = to->gossip[0] ? 0 : n->full ? w->table_number : w->last_seq;
   n->revision = w->evacuated.revision;
   n->evacuated = w->evacuated.name;
   n->n_evacuated = w->evacuated.n;
@@ -229,7 +231,7 @@
   w->table = (Pw__Notice)PW__NOTICE__INIT;
   pwtable_write(w->targets, now, &w->table);
   w->table_built_at = now;
-  w->table_number = w->last_number;
+  w->table_number = w->last_seq;
 }
 
 static void send_table(pw_watch *w, watcher *to, int64_t now) {
@@ -283,18 +285,18 @@
     mark_lost(w, 1);
 }
 
-static void note_change(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+static void note_change(pw_watch *w, const pw_beat *b, pw_fleet_news change,
                         int is_own, int64_t received_at) {
   pw_tidings t = {.beat = *b,
-                  .gone = what == PWFLEET_GONE,
-                  .silent = what == PWFLEET_SILENT,
-                  .is_change = what > PWFLEET_RENEWED,
+                  .gone = change == PWFLEET_GONE,
+                  .silent = change == PWFLEET_SILENT,
+                  .is_change = change > PWFLEET_RENEWED,
                   .is_own = is_own,
                   .received_at = received_at};
-  if (what == PWFLEET_RESTARTED)
+  if (change == PWFLEET_RESTARTED)
     pwcount_add(w->p->counters, PWC_RESTARTS, 1);
   if (t.is_change)
-    pwlog(LOG_NOTICE, pwfleet_news_name(what),
+    pwlog(LOG_NOTICE, pwfleet_news_name(change),
           "target=%s born=%llu service=%s address=%s", b->id,
           (unsigned long long)b->born, b->service, b->address);
   if (is_own)
@@ -313,10 +315,10 @@
 
 /* Forwards another instance's update that a target leaves or has gone: that
 ** instance may stop before all have received it. */
-static void forward_end(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+static void forward_end(pw_watch *w, const pw_beat *b, pw_fleet_news change,
                         int64_t received_at) {
   pw_tidings t = {.beat = *b,
-                  .gone = what == PWFLEET_GONE,
+                  .gone = change == PWFLEET_GONE,
                   .is_change = 1,
                   .received_at = received_at};
   if (w->mesh->is_member)
@@ -332,26 +334,26 @@
 
 /* Sends the end of a target each time that the target reports it, since the
 ** update before may have been lost. */
-static void note_end(pw_watch *w, const pw_beat *b, pw_fleet_news what,
+static void note_end(pw_watch *w, const pw_beat *b, pw_fleet_news change,
                      int64_t now) {
   pw_tidings t = {.beat = *b, .gone = 1, .is_own = 1, .received_at = now};
   t.beat.born = ended_incarnation(w, b);
-  if (what == PWFLEET_OLD)
+  if (change == PWFLEET_OLD)
     queue_for_control(w, &t);
   else
-    note_change(w, &t.beat, what, 1, now);
+    note_change(w, &t.beat, change, 1, now);
 }
 
 uint64_t pwwatch_beat(pw_watch *w, const pw_beat *b, int gone, int64_t now) {
-  pw_fleet_news what = pwfleet_beat(w->targets, b, gone, now);
+  pw_fleet_news change = pwfleet_beat(w->targets, b, gone, now);
   if (gone)
-    note_end(w, b, what, now);
-  else if (what != PWFLEET_OLD)
-    note_change(w, b, what, 1, now);
+    note_end(w, b, change, now);
+  else if (change != PWFLEET_OLD)
+    note_change(w, b, change, 1, now);
   if ((!gone && !b->leaving) || !has_control_watcher(w))
     return 0;
   w->must_confirm = 1;
-  return w->last_number + 1;
+  return w->last_seq + 1;
 }
 
 static void on_silent(void *arg, pw_target *t, int forgotten) {
@@ -382,18 +384,18 @@
     return;
   pwtable_unpack(beat, &b);
   int64_t received_at = in->now - beat->age;
-  pw_fleet_news what =
+  pw_fleet_news change =
       pwtable_is_renewal(beat)
           ? pwfleet_renew(in->w->targets, b.id, b.born, b.seq, received_at)
           : pwfleet_beat(in->w->targets, &b, beat->gone, received_at);
   if (pwtable_is_renewal(beat) && !pwfleet_knows(in->w->targets, b.id, b.born))
     pwpeers_ask_all(in->w->peers, in->from);
-  if (what == PWFLEET_BACK) /* a renewal does not contain all fields */
+  if (change == PWFLEET_BACK) /* a renewal does not contain all fields */
     pwfleet_beat_of(pwfleet_find(in->w->targets, b.id), &b);
-  if (what >= PWFLEET_JOINED)
-    note_change(in->w, &b, what, 0, received_at);
-  if (what == PWFLEET_LEAVING || what == PWFLEET_GONE)
-    forward_end(in->w, &b, what, received_at);
+  if (change >= PWFLEET_JOINED)
+    note_change(in->w, &b, change, 0, received_at);
+  if (change == PWFLEET_LEAVING || change == PWFLEET_GONE)
+    forward_end(in->w, &b, change, received_at);
 }
 
 /* --- watchers --- */
@@ -614,7 +616,7 @@
   pw_bundle b;
   pwbundle_make(&b, from, concerns, now);
   if (to == TO_CONTROL && b.n)
-    w->last_number++;
+    w->last_seq++;
   notify_each(w, to, &b, now);
   pwbundle_free(&b);
 }
