--- a/packages/control/pwcanaries.c
+++ b/packages/control/pwcanaries.c
@@ -24,9 +24,10 @@
   char version[PW_NAME_MAX];
   pw_canary canary;
   int64_t over_ms;
-  /* how long it had gone on when the resource was written, ms ... */
+  /* elapsed time of the rollout when the resource was written, ms */
   int64_t elapsed_ms;
-  int64_t written; /* ... and when that was by the writer's wall clock, ms */
+  /* when the resource was written, by the wall clock of its writer, ms */
+  int64_t written;
   uint64_t begun;
   uint64_t resource_version;
 } spec;
@@ -51,7 +52,7 @@
 typedef struct running {
   char service[PW_NAME_MAX];
   uint64_t begun;
-  /* when this instance took it on, and how long it had gone on then, ms */
+  /* when this instance took the rollout on, and its elapsed time then, ms */
   int64_t since, elapsed_ms;
   int share;
   int64_t share_at; /* when the share was read first, ms */
--- a/packages/control/pwcontrol.c
+++ b/packages/control/pwcontrol.c
@@ -14,8 +14,8 @@
 #include <zmq.h>
 
 #define TICK_MS 10
-#define ITERATION_MS 100 /* a longer iteration of the loop was stalled */
-/* an iteration that began within this time: the loop is not stalled */
+#define ITERATION_MS 100 /* ms; a longer iteration of the loop was stalled */
+/* the loop counts as stalled if its latest iteration began longer ago, ms */
 #define STALL_MS 200
 #define BODY_MAX (16 * 1024 * 1024)
 /* every target may keep one open for its heartbeats */
--- a/packages/control/pwctl.h
+++ b/packages/control/pwctl.h
@@ -23,8 +23,8 @@
   uint64_t index;
   uint64_t term;
   int64_t since;
-  pw_api_call *call; /* NULL: a claim or record from an entry, see below */
-  pw_peer peer;      /* the entry that sent a claim or record */
+  pw_api_call *call; /* NULL: a claim or record, see below */
+  pw_peer peer;      /* the entry process that sent the claim or record */
   char id[PW_NAME_MAX];
   int is_record;
   UT_hash_handle hh;
@@ -82,7 +82,8 @@
 /* Handles an API call of an operator or of the platform. */
 void pwctl_call(pw_control *c, pw_api_call *call, int64_t now);
 
-/* Handles a claim of a request, or the record of its result, from an entry. */
+/* Handles a claim of a request, or the record of its result, from an entry
+** process. */
 void pwctl_ledger(pw_control *c, const pw_peer *from, const Pw__Envelope *e,
                   int64_t now);
 
--- a/packages/control/pwplanner.c
+++ b/packages/control/pwplanner.c
@@ -244,7 +244,7 @@
 }
 
 /* Counts the targets at which the version cannot be loaded. While it runs
-** nowhere, the failures of one target count as if they were at as many
+** nowhere, repeated failures at one target count like failures at as many
 ** targets. */
 static int count_failed(const slots *sl, const char *version) {
   int targets = 0, most = 0;
@@ -364,7 +364,8 @@
   free(a);
 }
 
-/* Updates targets in turn until the batch is full; the next pass goes on. */
+/* Updates the assignments of targets until the batch is full; the rest
+** follow in later passes. */
 static void sync_targets(pw_planner *pl, Pw__Change *ch, uint64_t term) {
   for (target *t = pl->targets; t && ch->n_puts < BATCH_MAX; t = t->hh.next)
     if (t->batch != pl->batch)
@@ -392,12 +393,12 @@
 Pw__Change *pwplanner_next(pw_planner *pl, uint64_t term, int64_t now) {
   uint64_t changes = pwnews_changes(pl->news);
   int is_unchanged = pl->read_revision == pwres_revision(pl->res) &&
-                     changes == pl->seen_changes;
-  if (pl->is_proposed || (is_unchanged && now - pl->passed_at < PASS_MS))
+                     changes == pl->changes_seen;
+  if (pl->is_proposed || (is_unchanged && now - pl->last_pass_at < PASS_MS))
     return NULL;
   pwpl_read(pl);
-  pl->seen_changes = changes;
-  pl->passed_at = now;
+  pl->changes_seen = changes;
+  pl->last_pass_at = now;
   pl->batch++;
   Pw__Change *ch = pw_alloc(sizeof *ch);
   pw__change__init(ch);
@@ -417,7 +418,7 @@
 
 void pwplanner_done(pw_planner *pl, pw_code code) {
   pl->is_proposed = 0;
-  pl->passed_at = 0;
+  pl->last_pass_at = 0;
   if (code != PW_OK)
     pl->read_revision = 0; /* another writer was first: read all again */
 }
--- a/packages/control/pwplannerint.h
+++ b/packages/control/pwplannerint.h
@@ -62,8 +62,9 @@
   target *targets;
   model *models;
   uint64_t read_revision; /* revision up to which the resources were read */
-  uint64_t seen_changes;  /* changes of target states that were looked at */
-  int64_t passed_at;
+  /* number of changes of target states up to the last pass */
+  uint64_t changes_seen;
+  int64_t last_pass_at;
   /* earliest time for the next load, ms: it spares the weight store */
   int64_t next_load_at;
   /* bytes a second that the weight store may deliver; 0: no limit */
--- a/packages/control/pwplanread.c
+++ b/packages/control/pwplanread.c
@@ -154,7 +154,7 @@
 void pwpl_read(pw_planner *pl) {
   int adapters = 0;
   if (pl->read_revision != pwres_revision(pl->res))
-    pl->passed_at = 0; /* the next pass is due at once */
+    pl->last_pass_at = 0; /* the next pass is due at once */
   if (pl->read_revision < pwres_floor(pl->res))
     pwpl_clear(pl);
   for (const pw_resource *one = pwres_after(pl->res, pl->read_revision); one;
--- a/packages/control/pwwatch.c
+++ b/packages/control/pwwatch.c
@@ -30,8 +30,8 @@
 #define LOST_NOTICES 5
 
 /* Gateways that rely on this instance receive the list of gateways when it
-** changed, but no sooner after the one before than LIST_MS and
-** LIST_MS_PER_WATCHER for each watcher. */
+** changed, but no sooner after the list before than LIST_MS and
+** LIST_MS_PER_WATCHER for each watcher, ms. */
 #define LIST_MS 1000
 #define LIST_MS_PER_WATCHER 20
 
@@ -39,8 +39,8 @@
 ** together, ms. */
 #define CONTROL_BATCH_MS 30
 
-/* a table of all targets is sent to others for so long before it is built
-** anew */
+/* A table of all targets is sent to further watchers for so long before it
+** is built anew, ms. */
 #define TABLE_REUSE_MS 300
 
 typedef struct watcher {
@@ -55,7 +55,7 @@
   /* when it asked for the table of all targets; 0: it does not wait for one */
   int64_t table_asked_at;
   int64_t received_at, notified_at, lists_sent_at;
-  uint64_t announced_site;
+  uint64_t announced_version;  /* of the configuration */
   uint64_t announced_revision; /* of the evacuated availability zones */
   int64_t suspects_sent_at; /* when it was sent the quarantined fingerprints */
   struct watcher *next;
@@ -216,7 +216,7 @@
   free(n->control);
   free(n->gateways);
   to->notified_at = now;
-  to->announced_site = n->site;
+  to->announced_version = n->site;
   to->announced_revision = n->revision;
 }
 
@@ -469,7 +469,7 @@
   one->next = w->watchers;
   w->watchers = one;
   w->nwatchers++;
-  one->announced_site = UINT64_MAX; /* a Notice is due at once */
+  one->announced_version = UINT64_MAX; /* a Notice is due at once */
   pw_copy(one->gossip, sizeof one->gossip, e->watch->gossip);
   pw_copy(one->control, sizeof one->control, e->watch->control);
   note_gateway_change(w, one);
@@ -591,7 +591,7 @@
 /* Whether a watcher was not yet sent the current version of the
 ** configuration or of the evacuated availability zones. */
 static int lacks_versions(const pw_watch *w, const watcher *to) {
-  return to->announced_site != pwdoc_version(w->doc) ||
+  return to->announced_version != pwdoc_version(w->doc) ||
          to->announced_revision != w->evacuated.revision;
 }
 
