--- a/packages/entry/pwanswer.c
+++ b/packages/entry/pwanswer.c
@@ -1,13 +1,15 @@
-/* pwanswer.c: what agents say about attempts. */
+/* pwanswer.c: handles agents' messages about attempts. */
 #include "pwfl.h"
 
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
 
-#define ANSWER_MAX (8 * 1024 * 1024) /* bytes of an answer not streamed */
+#define ANSWER_MAX                                                             \
+  (8 * 1024 * 1024) /* bytes of an answer that is not streamed */
 
-static void note_pointer(pw_flights *fs, const pw_flight *f) {
+/* Tells the chat's home target which other target now holds its cached prefix. */
+static void send_pointer(pw_flights *fs, const pw_flight *f) {
   const pw_call *c = f->call;
   pw_route_pool pool;
   pw_policy none = {0};
@@ -31,15 +33,15 @@
                       const pw_policy *policy, int64_t now) {
   if (f->state != F_SENT)
     return;
-  f->unproven--;
-  f->attempts--;      /* it was none: nothing started */
-  if (f->origin[0]) { /* it was to go on with an earlier attempt */
+  f->maybe_started--;
+  f->attempts--;      /* nothing was started, so the attempt does not count */
+  if (f->origin[0]) { /* the target does not resume the stream */
     pwfl_broken(fs, f, PW_E_CUT, policy, now);
     return;
   }
   int missed = r->code == PW_E_MISS;
-  f->told_wait = r->retry_after;
-  f->told_worth = r->worth;
+  f->refused_wait = r->retry_after;
+  f->refused_worth = r->worth;
   if (r->kv_tokens) {
     f->kv_tokens = r->kv_tokens;
     pw_copy(f->kv_url, sizeof f->kv_url, r->kv_url);
@@ -64,7 +66,7 @@
   pw_call *c = f->call;
   f->state = F_ANSWERING;
   if (f->got_head)
-    return; /* a resumed stream: the caller has its headers */
+    return; /* a resumed stream, whose caller has its headers */
   f->got_head = 1;
   const char *cached = head_value(h, "X-Cached-Tokens");
   if (cached[0]) {
@@ -80,16 +82,17 @@
   pwevent_add(fs->p->events, PWE_PLACED, 0, c->request, c->chat,
               pwfl_target_name(fs, f), "cached=%u of %u hops=%d",
               c->cached_tokens, c->prompt_seen, f->hops);
-  note_pointer(fs, f);
+  send_pointer(fs, f);
 }
 
-static void keep(pw_flight *f, const ProtobufCBinaryData *data) {
-  if (!f->call->never || f->kept_over)
+/* Appends to the record of a request that may run only once. */
+static void add_to_record(pw_flight *f, const ProtobufCBinaryData *data) {
+  if (!f->call->never || f->record_overflow)
     return;
-  if (f->kept.len + data->len > PW_RECORD_MAX)
-    f->kept_over = 1;
+  if (f->record.len + data->len > PW_RECORD_MAX)
+    f->record_overflow = 1;
   else
-    pwbuf_add(&f->kept, data->data, data->len);
+    pwbuf_add(&f->record, data->data, data->len);
 }
 
 void pwfl_send_credit(pw_flights *fs, pw_flight *f, uint64_t offset) {
@@ -101,8 +104,8 @@
   f->credited = offset;
 }
 
-/* Bytes count only at their own offset: one that was seen is skipped, one
-** that is missing breaks the attempt. */
+/* Appends the bytes at their offset. Bytes received before are skipped; missing
+** bytes break the attempt off. */
 static void on_chunk(pw_flights *fs, pw_flight *f, const Pw__Chunk *k,
                      const pw_policy *policy, int64_t now) {
   if (f->state != F_ANSWERING)
@@ -116,10 +119,10 @@
     return;
   ProtobufCBinaryData fresh = {k->data.len - seen, k->data.data + seen};
   f->received += fresh.len;
-  keep(f, &fresh);
+  add_to_record(f, &fresh);
   size_t held = pwcall_data(f->call, fresh.data, fresh.len);
   if (f->call->stream)
-    return; /* credit follows the caller's reading */
+    return; /* credit is sent as the caller reads */
   if (held > ANSWER_MAX) {
     pwfl_send_cancel(fs, f);
     pwfl_fail(fs, f, PW_E_UPSTREAM, now);
@@ -173,7 +176,6 @@
   }
 }
 
-/* Every attempt on a target that broke at once: a lost link or a new life. */
 void pwfl_break_all(pw_flights *fs, const pw_target *t, pw_code code,
                     const pw_policy *policy, int64_t now) {
   uint64_t id = t->id;
@@ -200,21 +202,22 @@
   pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
 }
 
-/* Runs that waited for this link go out. */
+/* Sends the Runs that waited for this link. */
 static void send_waiting(pw_flights *fs, pw_target *t, int64_t now) {
   for (pw_flight *f = fs->all; f; f = f->hh.next)
     if (f->target == t->id && f->state == F_OPENING)
       pwfl_send_run(fs, f, t, now);
 }
 
-static void on_life(pw_flights *fs, pw_target *t, const Pw__Envelope *e,
-                    const pw_policy *policy, int64_t now) {
+/* Handles what every message of an agent shows: the link is up, and the load. */
+static void on_any_message(pw_flights *fs, pw_target *t, const Pw__Envelope *e,
+                           const pw_policy *policy, int64_t now) {
   t->link = PW_LINK_UP;
   t->link_heard = now;
   const Pw__Load *load = load_of(e);
-  int reborn = load && pwtargets_report(fs->targets, load,
-                                        now - (int64_t)load->age, now);
-  if (reborn)
+  int restarted = load && pwtargets_report(fs->targets, load,
+                                           now - (int64_t)load->age, now);
+  if (restarted)
     pwfl_break_all(fs, t, PW_E_CUT, policy, now);
   if (t->incarnation == e->incarnation)
     send_waiting(fs, t, now);
@@ -226,7 +229,7 @@
   pw_target *t = pwtargets_by_peer(fs->targets, from);
   if (!t)
     return;
-  on_life(fs, t, e, policy, now);
+  on_any_message(fs, t, e, policy, now);
   const char *attempt = attempt_of(e);
   if (!attempt)
     return;
--- a/packages/entry/pwask.c
+++ b/packages/entry/pwask.c
@@ -1,4 +1,4 @@
-/* pwask.c: reads a caller's HTTP request into a call. */
+/* pwask.c: parses a caller's HTTP request into a call. */
 #include "pwask.h"
 
 #include "pwbuf.h"
@@ -15,8 +15,8 @@
 
 #define CHAT_PATH "/v1/chat/completions"
 #define SERVICE_PATH "/v1/services/"
-#define BYTES_PER_TOKEN 4 /* a common estimate; the engine tells the truth */
-#define OUTPUT_DEFAULT 256
+#define BYTES_PER_TOKEN 4  /* estimate; the engine reports the true count */
+#define OUTPUT_DEFAULT 256 /* tokens, for a request without max_tokens */
 #define OUTPUT_MAX 1000000
 #define PRIORITY_MAX 9
 
@@ -38,7 +38,7 @@
     return PW_OK;
   long n = strtol(v, &end, 10);
   if (!v[0] || *end || n < 0 || n > max) {
-    snprintf(message, cap, "%s: 0 to %ld is allowed", name, max);
+    snprintf(message, cap, "%s: must be an integer from 0 to %ld", name, max);
     return PW_E_HEADER;
   }
   *out = n;
@@ -50,7 +50,8 @@
   if (!chat)
     return PW_OK;
   if (!is_token(chat, PW_KEY_MAX)) {
-    snprintf(message, cap, "Peatwell-Chat: 1 to %d visible characters",
+    snprintf(message, cap,
+             "Peatwell-Chat: must be 1 to %d visible ASCII characters",
              PW_KEY_MAX);
     return PW_E_HEADER;
   }
@@ -62,14 +63,15 @@
   const char *repeat = pwserve_header(h, "Peatwell-Repeat");
   const char *key = pwserve_header(h, "Idempotency-Key");
   if (key && !is_token(key, PW_KEY_MAX)) {
-    snprintf(message, cap, "Idempotency-Key: 1 to %d visible characters",
+    snprintf(message, cap,
+             "Idempotency-Key: must be 1 to %d visible ASCII characters",
              PW_KEY_MAX);
     return PW_E_HEADER;
   }
   if (!repeat)
     return PW_OK;
   if (strcasecmp(repeat, "never") != 0) {
-    snprintf(message, cap, "Peatwell-Repeat: never is allowed");
+    snprintf(message, cap, "Peatwell-Repeat: only the value never is allowed");
     return PW_E_HEADER;
   }
   if (!key)
@@ -96,23 +98,24 @@
   return rc;
 }
 
-/* Checks the messages; notes whether an answer was given before. */
+/* Checks the messages and notes whether one is an earlier answer. Returns an
+** error text or NULL. */
 static const char *read_messages(const json_t *messages, pw_call *c) {
   size_t i;
   json_t *m;
   if (!json_is_array(messages) || json_array_size(messages) == 0)
-    return "messages: a list of messages is needed";
+    return "messages: must be a non-empty array";
   json_array_foreach(messages, i, m) {
     const char *role = json_string_value(json_object_get(m, "role"));
     if (!role || !json_object_get(m, "content"))
-      return "messages: each needs a role and a content";
+      return "messages: each message must have a role and a content";
     if (!strcmp(role, "assistant"))
       c->returning = 1;
   }
   return NULL;
 }
 
-/* The pool of the version that the chat belongs to. */
+/* Chooses the pool of the model version that serves the chat. */
 static int choose_pool(const pw_view *view, const char *name, pw_call *c) {
   const char *model = pwview_model(view, name);
   pw_rollout r;
@@ -138,14 +141,14 @@
   const json_t *max = json_object_get(doc, "max_tokens");
   *why = NULL;
   if (!json_is_object(doc))
-    *why = "a JSON object is needed";
+    *why = "request body: must be a JSON object";
   else if (!model)
-    *why = "model: a string is needed";
+    *why = "model: must be a string";
   else if (stream && !json_is_boolean(stream))
-    *why = "stream: true or false is allowed";
+    *why = "stream: must be true or false";
   else if (max && (!json_is_integer(max) || json_integer_value(max) < 1 ||
                    json_integer_value(max) > OUTPUT_MAX))
-    *why = "max_tokens: 1 to 1000000 is allowed";
+    *why = "max_tokens: must be an integer from 1 to 1000000";
   else
     *why = read_messages(json_object_get(doc, "messages"), c);
   if (*why)
@@ -157,6 +160,7 @@
   return PW_OK;
 }
 
+/* Whether the JSON text is nested no deeper than PW_JSON_DEPTH. */
 static int depth_ok(const char *s, size_t n) {
   int depth = 0;
   int in_string = 0;
@@ -182,7 +186,8 @@
                                size_t cap) {
   json_error_t e;
   if (!depth_ok(c->body, c->body_len)) {
-    snprintf(message, cap, "JSON nested deeper than %d", PW_JSON_DEPTH);
+    snprintf(message, cap, "request body: JSON nested deeper than %d levels",
+             PW_JSON_DEPTH);
     return PW_E_BODY;
   }
   json_t *doc = json_loadb(c->body, c->body_len, JSON_REJECT_DUPLICATES, &e);
@@ -201,8 +206,9 @@
   return rc;
 }
 
-/* Headers a plain service gets: all but those of the hop and of peatwell. */
-static void keep_header(void *arg, const char *name, const char *value) {
+/* Adds a header to those forwarded to a service: all but hop-by-hop headers and
+** those of peatwell itself. */
+static void forward_header(void *arg, const char *name, const char *value) {
   static const char *const hop[] = {
       "Connection", "Keep-Alive",   "Transfer-Encoding", "Content-Length",
       "Host",       "TE",           "Trailer",           "Upgrade",
@@ -225,7 +231,8 @@
   c->headers[c->nheaders++] = h;
 }
 
-/* A GET or HEAD may be repeated by its nature; others if the service says. */
+/* GET and HEAD requests may be retried; others only if the service is declared
+** repeatable. */
 static pw_code read_service(pw_http *h, const pw_view *view, pw_call *c) {
   const char *name = c->path + strlen(SERVICE_PATH);
   size_t n = strcspn(name, "/");
@@ -249,7 +256,7 @@
     c->deadline_ms = s->timeout;
   c->prompt_tokens = 1;
   c->output_tokens = 1;
-  pwserve_headers(h, keep_header, c);
+  pwserve_headers(h, forward_header, c);
   return PW_OK;
 }
 
@@ -264,10 +271,10 @@
   crypto_generichash_final(&st, c->digest, sizeof c->digest);
 }
 
-static void add_sign(pw_call *c) {
-  c->sign = pwsign_of(c->workspace.name, c->method,
-                      (pw_span){c->path, strlen(c->path)},
-                      (pw_span){c->body, c->body_len});
+static void add_fingerprint(pw_call *c) {
+  c->fingerprint = pwsign_of(c->workspace.name, c->method,
+                             (pw_span){c->path, strlen(c->path)},
+                             (pw_span){c->body, c->body_len});
 }
 
 pw_code pwask_read(pw_http *h, const pw_view *view, pw_call *c, char *message,
@@ -287,7 +294,7 @@
   if (rc != PW_OK)
     return rc;
   add_digest(c);
-  add_sign(c);
+  add_fingerprint(c);
   if (!strncmp(c->path, SERVICE_PATH, strlen(SERVICE_PATH)))
     return read_service(h, view, c);
   if (strcmp(c->path, CHAT_PATH) != 0 || strcmp(c->method, "POST") != 0)
--- a/packages/entry/pwattempt.c
+++ b/packages/entry/pwattempt.c
@@ -1,21 +1,23 @@
-/* pwattempt.c: attempts of a request: sending, hops, retries, resumes, and the end. */
+/* pwattempt.c: attempts of a request: sending, hops, retries, resumes, and the
+** end. */
 #include "pwfl.h"
 
 #include "pwlog.h"
 
 #define RESUMES_MAX 7
-#define RESUMES_FIRST 2 /* of what may begin anew elsewhere instead */
+#define RESUMES_FIRST 2 /* for requests that may be retried elsewhere instead */
 
-/* An agent that refuses because its target serves no such pool sees other resources than this entry:
-** one of the two is told within a moment. Nobody else being left, it is asked again after 20, 40, ...
-** 640 ms, 1.26 s in all: what was lost on the way is told again after 1 s (pwfeed). Each time so many
-** targets are asked at most. */
+/* An agent that refuses since its target serves no such pool has another revision of the resources than
+** this entry, and one of the two is updated soon. When no target is left, the agents are retried after 20,
+** 40, ... 640 ms, 1.26 s in all, since a lost update is resent after 1 s (pwfeed). Each retry tries at most
+** REASK_TARGETS targets. */
 #define REASKS_MAX 6
 #define REASK_FIRST_MS 20
 #define REASK_TARGETS 2
 
-/* A claim is settled only by a whole answer or a proof that it did not run;
-** with neither it stays claimed, and resends learn that. */
+/* A claim is settled only by a complete answer or a proof that the request did
+** not run. With neither the key stays claimed, and a resent request gets an
+** error. */
 void pwfl_settle(pw_flights *fs, pw_flight *f, int whole, int not_run,
                  int64_t now) {
   pwfl_release(fs, f);
@@ -31,10 +33,10 @@
 
 void pwfl_fail(pw_flights *fs, pw_flight *f, pw_code code, int64_t now) {
   pw_call *c = f->call;
-  int not_run = f->unproven == 0;
+  int not_run = f->maybe_started == 0;
   uint32_t retry = 0;
   if (!not_run && pwcode_http(code) == 503)
-    code = PW_E_UNKNOWN; /* the status would say that it did not run */
+    code = PW_E_UNKNOWN; /* status 503 would mean that it did not run */
   if (not_run && (pwcode_http(code) == 503 || code == PW_E_QUOTA))
     retry = pwroute_retry_after(f->retry_after, f->walk.draw);
   pwevent_add(fs->p->events, not_run ? PWE_REFUSED : PWE_UNKNOWN, code,
@@ -44,19 +46,19 @@
   pwfl_settle(fs, f, 0, not_run, now);
 }
 
-/* How attempts of a version's pool end decides on its rollout. */
+/* Counts an attempt of a version: the rollout is judged by these counts. */
 static void count_version(pw_flights *fs, const pw_flight *f, int failed) {
   if (f->call->other_pool[0])
     pwnews_count(fs->news, f->pool, failed);
 }
 
-int pwfl_end_quarantined(pw_flights *fs, pw_flight *f, int64_t now) {
-  int64_t left = pwquar_left(fs->quarantine, f->call->sign, now);
+int pwfl_refuse_quarantined(pw_flights *fs, pw_flight *f, int64_t now) {
+  int64_t left = pwquar_left(fs->quarantine, f->call->fingerprint, now);
   if (left == 0)
     return 0;
   pwcount_add(fs->p->counters, PWC_QUARANTINE_REFUSED, 1);
   f->retry_after = (uint32_t)left;
-  pwfl_fail(fs, f, f->unproven ? PW_E_UNKNOWN : PW_E_QUARANTINED, now);
+  pwfl_fail(fs, f, f->maybe_started ? PW_E_UNKNOWN : PW_E_QUARANTINED, now);
   return 1;
 }
 
@@ -114,14 +116,15 @@
   f->attempts++;
   t->pending += f->walk.cost;
   if (pwwire_send(fs->sock, &t->peer, &e) == 0) {
-    f->unproven++;
+    f->maybe_started++;
     return;
   }
-  f->state = F_OPENING; /* not sent: the tick goes on to another target */
+  f->state = F_OPENING; /* not sent: tick_one goes on to another target */
   pwtargets_lose(fs->targets, t);
 }
 
-static void go_to(pw_flights *fs, pw_flight *f, pw_target *t, int64_t now) {
+static void send_attempt(pw_flights *fs, pw_flight *f, pw_target *t,
+                         int64_t now) {
   f->target = t->id;
   t->in_flight++;
   if (pwtargets_is_fresh(t, now)) {
@@ -153,13 +156,13 @@
     pwfl_fail(fs, f, PW_E_DEADLINE, now);
     return;
   }
-  if (pwfl_end_quarantined(fs, f, now))
+  if (pwfl_refuse_quarantined(fs, f, now))
     return;
   pw_target *t = NULL;
   if (f->hops <= PW_HOPS_MAX)
     t = pwfl_pick(fs, f, policy, now);
   if (t)
-    go_to(fs, f, t, now);
+    send_attempt(fs, f, t, now);
   else if (f->last_code == PW_E_NO_TARGET && f->reasks < REASKS_MAX)
     await_reask(fs, f, now);
   else
@@ -183,38 +186,38 @@
                                                     : PW_REFUSED_OTHER;
 }
 
-/* The attempt is known not to have started: on to the next target. */
 void pwfl_hop(pw_flights *fs, pw_flight *f, pw_code code,
               const pw_policy *policy, int64_t now) {
   uint64_t id = f->target;
   pwfl_release(fs, f);
-  pwroute_refused(&f->walk, id, refusal_of(code), f->told_wait, f->told_worth);
+  pwroute_refused(&f->walk, id, refusal_of(code), f->refused_wait,
+                  f->refused_worth);
   if (code != PW_E_MISS)
     f->last_code = code;
   if (refusal_of(code) == PW_REFUSED_BUSY && !pwretry_spend(&fs->budget))
     pwroute_take_for_full(&f->walk);
   f->hops++;
   pwcount_add(fs->p->counters, PWC_HOPS, 1);
-  pwfl_rename_attempt(fs, f);
+  pwfl_new_attempt_id(fs, f);
   pwfl_place(fs, f, policy, now);
 }
 
-/* A stream that reached the caller cannot be begun again. */
+/* A stream that has reached the caller cannot be started again. */
 static int may_repeat(const pw_flight *f) {
   if (!f->call->repeatable || f->call->never)
     return 0;
   return !f->got_head || !f->call->stream;
 }
 
-/* Whether to ask the same target to go on: an answer that had begun, or an
-** attempt whose link was lost. The engine knows the stream by its first id, so
-** this starts nothing twice and costs no retry. */
+/* Whether the same target may resume the stream: the answer had begun, or the
+** link was lost. The engine identifies the stream by its first attempt id, so a
+** resume starts nothing twice and is not charged to the retry budget. */
 static int may_resume(const pw_flight *f, pw_code code) {
-  int most = may_repeat(f) ? RESUMES_FIRST : RESUMES_MAX;
-  if (f->call->is_service || f->resumes >= most)
+  int limit = may_repeat(f) ? RESUMES_FIRST : RESUMES_MAX;
+  if (f->call->is_service || f->resumes >= limit)
     return 0;
-  int link = code == PW_E_TIMEOUT || code == PW_E_CUT;
-  return f->got_head || (link && !f->call->never);
+  int is_link_lost = code == PW_E_TIMEOUT || code == PW_E_CUT;
+  return f->got_head || (is_link_lost && !f->call->never);
 }
 
 static int resume(pw_flights *fs, pw_flight *f, pw_code code, int64_t now) {
@@ -226,7 +229,7 @@
   f->resumes++;
   f->need_prefix = 0;
   f->may_queue = 0;
-  pwfl_rename_attempt(fs, f);
+  pwfl_new_attempt_id(fs, f);
   pwcount_add(fs->p->counters, PWC_RESUMES, 1);
   pwevent_add(fs->p->events, PWE_RESUMED, 0, f->call->request, f->call->chat,
               t->name, "offset=%llu", (unsigned long long)f->received);
@@ -241,8 +244,8 @@
     pwfl_fail(fs, f, PW_E_CUT, now);
     return;
   }
-  t->in_flight--; /* go_to counts it again */
-  go_to(fs, f, t, now);
+  t->in_flight--; /* send_attempt counts it again */
+  send_attempt(fs, f, t, now);
 }
 
 void pwfl_broken(pw_flights *fs, pw_flight *f, pw_code code,
@@ -251,8 +254,8 @@
   if (t && pwbreak_result(&t->breaker, 1, now))
     pwlog(LOG_WARNING, "target-set-aside", "target=%s", t->name);
   if (code == PW_E_CUT || code == PW_E_TIMEOUT)
-    pwfl_note_ended(fs, f, now);
-  if (pwfl_end_quarantined(fs, f, now) || resume(fs, f, code, now))
+    pwfl_note_crash(fs, f, now);
+  if (pwfl_refuse_quarantined(fs, f, now) || resume(fs, f, code, now))
     return;
   count_version(fs, f, 1);
   if (!may_repeat(f) || f->attempts >= PW_ATTEMPTS_MAX) {
@@ -281,7 +284,7 @@
   f->walk.busy = 0;
   f->failed = 1;
   f->last_code = code;
-  pwfl_leave_version(f); /* one that fails may be bad itself */
-  pwfl_rename_attempt(fs, f);
+  pwfl_switch_version(f); /* the version itself may be faulty */
+  pwfl_new_attempt_id(fs, f);
   pwfl_place(fs, f, policy, now);
 }
--- a/packages/entry/pwcall.c
+++ b/packages/entry/pwcall.c
@@ -1,4 +1,4 @@
-/* pwcall.c: one caller's request, shared by two threads. */
+/* pwcall.c: one caller's request, shared by an HTTP thread and the wire thread. */
 #include "pwcall.h"
 
 #include "pwbuf.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define NS_PER_US 1000
-#define BROKEN 2
+#define BROKEN 2 /* pw_call.ended: the answer failed or was cut off */
 
 pw_call *pwcall_new(pw_proc *p, pw_mail *mail) {
   pw_call *c = pw_alloc(sizeof *c);
@@ -46,7 +46,7 @@
   pwmail_post(c->mail, &n->item);
 }
 
-/* Under the lock: lets the HTTP thread go on. */
+/* Resumes a suspended HTTP connection. The lock is held. */
 static void wake(pw_call *c) {
   if (!c->h || !c->suspended)
     return;
@@ -110,6 +110,7 @@
   pwcount_add(c->p->counters, not_run ? PWC_NOT_RUN : PWC_UNKNOWN, 1);
 }
 
+/* Reads the answer for the HTTP server: bytes, 0 (wait), -1 (end) or -2 (broken). */
 static ssize_t read_out(void *arg, pw_http *h, char *buf, size_t max) {
   pw_call *c = arg;
   ssize_t rc;
@@ -151,7 +152,7 @@
   }
 }
 
-/* Under the lock: there is an answer, or the beginning of a stream. */
+/* Sends the answer, the error, or the beginning of a stream. The lock is held. */
 static void answer(pw_call *c) {
   pw_http *h = c->h;
   add_headers(c, h);
--- a/packages/entry/pwclaim.c
+++ b/packages/entry/pwclaim.c
@@ -1,9 +1,9 @@
-/* pwclaim.c: flights and the once-ledger. */
+/* pwclaim.c: claims and records of requests in the once-ledger. */
 #include "pwfl.h"
 
 #include <string.h>
 
-#define FULL_RETRY_MS 5000 /* a full ledger empties as claims grow old */
+#define FULL_RETRY_MS 5000 /* a full once-ledger drops claims as they expire */
 
 void pwfl_send_claim(pw_flights *fs, pw_flight *f, int64_t now) {
   pw_call *c = f->call;
@@ -26,16 +26,17 @@
   r.key = (char *)c->once_key;
   r.not_run = f->not_run;
   r.status = (uint32_t)f->status;
-  if (!f->not_run && !f->kept_over) {
-    r.body.data = (uint8_t *)f->kept.data;
-    r.body.len = f->kept.len;
+  if (!f->not_run && !f->record_overflow) {
+    r.body.data = (uint8_t *)f->record.data;
+    r.body.len = f->record.len;
   }
-  r.content_type = f->kept_over ? "" : (char *)c->type;
+  r.content_type = f->record_overflow ? "" : (char *)c->type;
   Pw__Envelope e = PW_ENVELOPE(RECORD, record, &r);
   pwsub_to_leader(fs->sub, &e);
   f->sent_at = now;
 }
 
+/* Answers the caller with the recorded answer. */
 static void replay(pw_flights *fs, pw_flight *f, const Pw__Claimed *cl) {
   pwcount_add(fs->p->counters, PWC_REPLAYS, 1);
   if (!cl->content_type[0] && cl->body.len == 0) {
@@ -60,8 +61,9 @@
                       const pw_policy *policy, int64_t now) {
   pw_flight *f = by_request(fs, cl->id);
   if (!f || cl->code == PW_E_NOT_LEADER)
-    return; /* asked again at the next tick */
-  /* A late answer to the claim is none to the record: the claim would stay, and its key be lost. */
+    return; /* tick_ledger resends the claim */
+  /* A late answer to the Claim must not be taken for one to the Record: the record would not be resent, and
+  ** the key would stay claimed. */
   if (f->state == F_RECORDING && cl->recorded) {
     pwfl_drop(fs, f);
     return;
--- a/packages/entry/pwentry.c
+++ b/packages/entry/pwentry.c
@@ -21,13 +21,13 @@
 #include <zmq.h>
 
 #define TICK_MS 20
-#define SUM_MS 50
-#define TELL_MS 250
-#define TURN_MS 100 /* a longer turn of the loop was held up */
+#define SUM_MS 50       /* between updates of the pools' load sums */
+#define SNAPSHOT_MS 250 /* between updates of the HTTP threads' snapshot */
+#define TURN_MS 100     /* a longer iteration of the event loop is a stall */
 #define POOLS_PER_AGENT 16
 #define FORWARD_TIMEOUT_S 40
-#define FORWARD_MAX (64 * 1024 * 1024)
-#define STOP_GRACE_MS 300 /* after ready fails, before the listener closes */
+#define FORWARD_MAX (64 * 1024 * 1024) /* bytes of a forwarded answer */
+#define STOP_GRACE_MS 300 /* from failing /ready to closing the listener */
 
 typedef struct entry {
   pw_proc *p;
@@ -43,14 +43,14 @@
   pw_news *news;
   pw_view *view; /* published with RCU */
   pw_policy policy;
-  uint64_t in_force; /* revision that the view and the targets show */
-  int64_t summed;
-  pw_lag lag;           /* of the loop */
-  int64_t waited;       /* ms a message read now may have lain unread */
+  uint64_t in_force;    /* revision that the view and the targets have */
+  int64_t summed_at;    /* last pwtargets_sum_up */
+  pw_lag lag;           /* stalls of the event loop */
+  int64_t unread_ms;    /* how long a message read now may have waited */
   int64_t stop_at;      /* when stopping began; 0: not stopping */
-  int64_t told;         /* when the next two were filled */
-  char leader_http[96]; /* under the lock */
-  json_t *children;     /* under the lock */
+  int64_t snapshot_at;  /* last update of `children` */
+  char leader_http[96]; /* protected by the lock */
+  json_t *children;     /* protected by the lock */
   pthread_mutex_t lock;
 } entry;
 
@@ -61,7 +61,7 @@
   pwproc_refuse(h, code, message, "not-run", 0);
 }
 
-/* Passes the leader's answer on, its error code as a header again. */
+/* Forwards the leader's answer, with its error code repeated as a header. */
 static void reply_forwarded(pw_http *h, int status, const pw_buf *out) {
   char number[16];
   json_t *doc = status == 200 ? NULL : json_loadb(out->data, out->len, 0, NULL);
@@ -77,7 +77,7 @@
   pwserve_reply(h, status, "application/json", out->data, out->len);
 }
 
-/* Resource requests go on to the control leader. */
+/* Forwards a resource request to the control leader. */
 static void forward(entry *en, pw_http *h) {
   char url[128] = "";
   pthread_mutex_lock(&en->lock);
@@ -118,7 +118,7 @@
   pwbuf_free(&out);
 }
 
-static void take_call(entry *en, pw_http *h) {
+static void start_call(entry *en, pw_http *h) {
   pw_call *c = pwcall_new(en->p, en->mail);
   char message[160] = "";
   pwcount_add(en->p->counters, PWC_REQUESTS, 1);
@@ -158,7 +158,7 @@
   else if (!strcmp(path, "/v1/children"))
     reply_children(en, h);
   else
-    take_call(en, h);
+    start_call(en, h);
 }
 
 static void on_http_done(void *arg, void *request, int whole) {
@@ -167,7 +167,7 @@
   pwcall_over(request);
 }
 
-/* --- the wire thread --- */
+/* --- wire thread --- */
 
 static void feed_state(entry *en, pw_feed_state *st, int64_t now) {
   *st = (pw_feed_state){.touch_age = pwsub_touch_age(en->sub, now),
@@ -195,7 +195,8 @@
   return since < pwres_floor(r);
 }
 
-/* Puts what arrived in force, many changes at once if they came at once. */
+/* Applies the resources received, several revisions at once if they came together.
+*/
 static void resources_changed(entry *en, int64_t now) {
   pw_feed_state st;
   const pw_res *r = pwsub_resources(en->sub);
@@ -212,7 +213,7 @@
   pwsub_hurry(en->sub);
 }
 
-/* An agent's Hello: its load, and the sums of its pools in return. */
+/* Takes in an agent's load and answers with the load sums of its pools. */
 static void on_hello(entry *en, const pw_peer *from, const Pw__Envelope *e,
                      int64_t now) {
   const char *names[POOLS_PER_AGENT];
@@ -222,7 +223,7 @@
   int n = 0;
   if (e->hello->load) {
     const Pw__Load *load = e->hello->load;
-    pwreport_child(en->reports, load, now - en->waited, now);
+    pwreport_child(en->reports, load, now - en->unread_ms, now);
     n = pwtargets_sums_for(en->targets, load->target, names, sums,
                            POOLS_PER_AGENT);
   }
@@ -242,7 +243,7 @@
 }
 
 static void on_loads(entry *en, const Pw__Envelope *e, int64_t now) {
-  pwreport_peer(en->reports, e, now - en->waited, now);
+  pwreport_peer(en->reports, e, now - en->unread_ms, now);
   pwflight_hear_suspects(en->flights, e->loads, now);
 }
 
@@ -282,7 +283,7 @@
 static void on_mail(entry *en, int64_t now) {
   pwmail_clear(en->mail);
   int serve = pwsub_may_serve(en->sub, now);
-  pwproc_set_ready(en->p, serve); /* not later than the first refusal */
+  pwproc_set_ready(en->p, serve); /* before any request is refused */
   pw_note *n;
   while ((n = (pw_note *)pwmail_take(en->mail)) != NULL) {
     pwflight_note(en->flights, n, &en->policy, serve, now);
@@ -291,7 +292,7 @@
   }
 }
 
-static void say_hello(entry *en, int64_t now) {
+static void send_hello(entry *en, int64_t now) {
   if (!pwsub_due(en->sub, now))
     return;
   pw_feed_sum sum;
@@ -316,10 +317,10 @@
   pwnews_child_left(en->news, c, pwclock_ms());
 }
 
-/* What HTTP threads may know of the wire thread's state. The leader's address
-** is told at once: an entry that is ready can forward. */
-static void tell_http(entry *en, int64_t now) {
-  int due = now - en->told >= TELL_MS;
+/* Copies the wire thread's state for the HTTP threads. The leader's address is
+** copied at each call, so that an entry that is ready can forward. */
+static void update_snapshot(entry *en, int64_t now) {
+  int due = now - en->snapshot_at >= SNAPSHOT_MS;
   json_t *children = due ? pwfeed_json(en->feed, now) : NULL;
   pthread_mutex_lock(&en->lock);
   if (due) {
@@ -329,10 +330,10 @@
   pw_copy(en->leader_http, sizeof en->leader_http, pwsub_leader_http(en->sub));
   pthread_mutex_unlock(&en->lock);
   if (due)
-    en->told = now;
+    en->snapshot_at = now;
 }
 
-/* A certificate that cannot be used leaves the one before in use. */
+/* Reloads the certificate. The previous one stays in use if that fails. */
 static void renew(entry *en) {
   pw_buf err = {0};
   if (!atomic_exchange(&en->p->renew, 0) || !en->p->set->entry_tls_cert[0])
@@ -348,13 +349,14 @@
   pwbuf_free(&err);
 }
 
-/* What is decided by how long somebody has been silent, or by a time that is over. */
-static void judge(entry *en, int64_t now) {
-  say_hello(en, now);
+/* Handles heartbeats and time-outs. Not called while the loop catches up after a stall, when peers only seem
+** silent. */
+static void check_timeouts(entry *en, int64_t now) {
+  send_hello(en, now);
   pwfeed_expire(en->feed, on_child_left, en, now);
-  if (now - en->summed >= SUM_MS) {
+  if (now - en->summed_at >= SUM_MS) {
     pwtargets_sum_up(en->targets, now);
-    en->summed = now;
+    en->summed_at = now;
   }
   pwreport_tick(en->reports, now);
   pwreport_suspects(en->reports, pwflight_quarantine(en->flights), now);
@@ -364,13 +366,13 @@
 static void tick(entry *en, int64_t now) {
   renew(en);
   if (pwlag_catch_up(&en->lag, now) == 0)
-    judge(en, now);
-  tell_http(en, now);
+    check_timeouts(en, now);
+  update_snapshot(en, now);
   pwproc_set_ready(en->p, pwsub_may_serve(en->sub, now));
 }
 
-/* Stopping: ready fails first, then the listener closes, then what is in
-** progress ends. */
+/* Whether the loop may end. When stopping, /ready fails first, then the listener
+** closes, then the requests in progress end. */
 static int may_end(entry *en, int64_t now) {
   int stopping = atomic_load(&en->p->stopping);
   if (!stopping)
@@ -392,12 +394,12 @@
   return pwflight_count(en->flights) == 0 && pwserve_active(en->http) == 0;
 }
 
-/* A process that was stopped and goes on reads messages of before: a load they
-** report is taken to be as old as the stop. */
-static void note_wait(entry *en, int64_t now) {
-  int64_t lost_ms = pwlag_turn(&en->lag, now);
-  en->waited = lost_ms ? lost_ms + TURN_MS : 0;
-  pwfeed_excuse(en->feed, lost_ms);
+/* After a stall the messages read are older than they seem: a load that they
+** report is taken to be as old as the stall. */
+static void note_stall(entry *en, int64_t now) {
+  int64_t stall_ms = pwlag_turn(&en->lag, now);
+  en->unread_ms = stall_ms ? stall_ms + TURN_MS : 0;
+  pwfeed_excuse(en->feed, stall_ms);
 }
 
 static void loop(entry *en) {
@@ -409,7 +411,7 @@
   while (!may_end(en, pwclock_ms())) {
     zmq_poll(items, 4, TICK_MS);
     int64_t now = pwclock_ms();
-    note_wait(en, now);
+    note_stall(en, now);
     on_listener(en, now);
     on_dialler(en, now);
     resources_changed(en, now);
--- a/packages/entry/pwfl.h
+++ b/packages/entry/pwfl.h
@@ -1,5 +1,5 @@
-/* pwfl.h: requests in flight, for pwflight.c, pwattempt.c, pwanswer.c and
-** pwclaim.c alone. */
+/* pwfl.h: an entry's requests in flight, internal declarations. Only the files
+** that define pwflight_* and pwfl_* functions include it. */
 #ifndef PWFL_H
 #define PWFL_H
 
@@ -10,51 +10,54 @@
 
 #include <uthash.h>
 
-/* An answer is out this long before the deadline, not at it; with less time
-** than this left nothing is sent any more. */
+/* A request fails this many ms before its deadline, so that the error reaches
+** the caller in time. With less time left no attempt is sent. */
 #define PWFL_MARGIN_MS 20
-#define PWFL_URL 96
+#define PWFL_URL 96 /* size of an engine's URL */
 
 typedef enum pw_flight_state {
-  F_CLAIMING, /* waits for the once-ledger */
-  F_OPENING,  /* waits for a cold link; nothing was sent */
-  F_PAUSING,  /* before a stream is resumed */
-  F_REASKING, /* targets that serve its pool were not told of it yet */
-  F_SENT,     /* a Run is out, no Head yet */
-  F_ANSWERING,
-  F_RECORDING /* answered; the ledger has yet to take the answer */
+  F_CLAIMING,  /* the once-ledger has not yet granted the key's claim */
+  F_OPENING,   /* waits for the link to the target's agent; no Run was sent */
+  F_PAUSING,   /* waits before the stream is resumed */
+  F_REASKING,  /* waits before agents that did not know the pool are retried */
+  F_SENT,      /* the Run was sent, no Head has arrived */
+  F_ANSWERING, /* the Head has arrived, the answer is being received */
+  F_RECORDING  /* the once-ledger has not yet confirmed the record */
 } pw_flight_state;
 
+/* One request in flight. Times are ms of the monotonic clock. */
 typedef struct pw_flight {
-  char attempt[PW_NAME_MAX]; /* key of the table */
+  char attempt[PW_NAME_MAX]; /* id of the current attempt, key of the table */
   pw_call *call;
-  const char *pool; /* of the call: the pool, or the other one */
+  const char *pool; /* the call's pool or other_pool, whichever is in use */
   pw_flight_state state;
-  pw_route_walk walk;
-  uint64_t target;      /* id */
-  uint64_t incarnation; /* of the agent the Run went to */
-  int need_prefix;
-  int may_queue;
+  pw_route_walk walk;   /* targets tried so far */
+  uint64_t target;      /* id of the attempt's target, 0: none */
+  uint64_t incarnation; /* incarnation of the agent that the Run was sent to */
+  int need_prefix;      /* the agent refuses if it lacks the cached prefix */
+  int may_queue;        /* the agent may queue the attempt */
   int attempts, hops, resumes, reasks;
-  int failed;   /* an attempt broke since the targets tried were cleared */
-  int unproven; /* attempts sent that no Refuse has proved not started */
-  int got_head; /* the caller's answer has begun */
+  int failed; /* an attempt failed since the list of targets tried was cleared */
+  int maybe_started; /* attempts sent that no Refuse has proved not started */
+  int got_head;      /* the caller's answer has begun */
   int64_t deadline;
-  int64_t since;     /* the state began */
-  int64_t sent_at;   /* the last message to the ledger */
-  int64_t checked;   /* the caller's connection */
-  uint64_t received; /* answer bytes */
-  uint64_t credited;
-  pw_code last_code; /* of the last refusal */
-  uint32_t retry_after;
-  uint32_t told_wait, told_worth; /* ms, of the last refusal */
-  uint32_t kv_tokens; /* prefix that a full target has, for another engine */
-  char kv_url[PWFL_URL];
-  char origin[PW_NAME_MAX]; /* attempt whose stream is resumed */
-  int not_run;              /* F_RECORDING: give the claim back */
+  int64_t since;             /* when the state was entered */
+  int64_t sent_at;           /* last message to the once-ledger */
+  int64_t caller_checked_at; /* last check of the caller's connection */
+  uint64_t received;         /* answer bytes received */
+  uint64_t credited;         /* answer bytes credited to the agent */
+  pw_code last_code;         /* code of the last refusal */
+  uint32_t
+      retry_after; /* shortest wait that a refusal has named, ms; 0: none */
+  uint32_t refused_wait,
+      refused_worth;  /* wait and worth of the last refusal, ms */
+  uint32_t kv_tokens; /* cached prefix that another engine may take over ... */
+  char kv_url[PWFL_URL];    /* ... from the full target at this URL */
+  char origin[PW_NAME_MAX]; /* first attempt of a resumed stream, or "" */
+  int not_run; /* F_RECORDING: the claim is released, as nothing was run */
   int status;
-  pw_buf kept; /* answer to be recorded */
-  int kept_over;
+  pw_buf record;       /* answer for the once-ledger */
+  int record_overflow; /* the answer exceeds PW_RECORD_MAX and is not recorded */
   UT_hash_handle hh;
 } pw_flight;
 
@@ -66,96 +69,102 @@
   pw_news *news;
   pw_flight *all;
   pw_retry_budget budget;
-  double share;
+  double retry_share; /* share that the budget was initialized with */
   pw_quotas *quotas;
-  pw_quarantine *quarantine; /* requests under which targets ended */
+  pw_quarantine *quarantine; /* requests that crash their targets */
 };
 
-/* Forgets a flight; its caller has its answer. */
+/* Removes and frees a request whose caller needs nothing more from it. */
 void pwfl_drop(pw_flights *fs, pw_flight *f);
 
-/* Gives a flight a new attempt id. */
-void pwfl_rename_attempt(pw_flights *fs, pw_flight *f);
+/* Draws a new attempt id for a request and moves it in the table. */
+void pwfl_new_attempt_id(pw_flights *fs, pw_flight *f);
 
-/* The target it is with, or NULL. */
+/* The target of the current attempt, or NULL. */
 pw_target *pwfl_target_of(pw_flights *fs, const pw_flight *f);
 
-/* That target's name, or "". */
+/* Name of the current attempt's target, or "". */
 const char *pwfl_target_name(pw_flights *fs, const pw_flight *f);
 
-/* Sends to an agent, if its link is there. */
+/* Sends a message to a target's agent unless there is no link to it. */
 void pwfl_send_to(pw_flights *fs, const pw_target *t, Pw__Envelope *e);
 
-/* Tells the agent that the attempt is not wanted. */
+/* Tells the agent to cancel the current attempt. */
 void pwfl_send_cancel(pw_flights *fs, const pw_flight *f);
 
-/* The attempt is over for its target. */
+/* Detaches the request from its target, which has one attempt in flight less. */
 void pwfl_release(pw_flights *fs, pw_flight *f);
 
-/* Ends a flight: with the ledger if it holds a claim. */
+/* Ends a request. One with a claim is record until the once-ledger has recorded
+** the answer (whole) or released the claim (not_run). */
 void pwfl_settle(pw_flights *fs, pw_flight *f, int whole, int not_run,
                  int64_t now);
 
-/* Tells the caller the code; not-run only with a proof. */
+/* Fails the request with a code. The outcome is not-run only when it is proved
+** that no attempt was started. */
 void pwfl_fail(pw_flights *fs, pw_flight *f, pw_code code, int64_t now);
 
-/* The answer is whole. */
+/* Ends a request whose answer is complete. */
 void pwfl_finish(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* The next target: of the call's own version, of the other one while two share the chats, and where
-** an attempt has failed when no other is left. NULL: nobody is left. */
+/* Picks the next target: one of the call's own version, else one of the other version while a rollout
+** has two, else one where an attempt has failed before. NULL: no target is left. */
 pw_target *pwfl_pick(pw_flights *fs, pw_flight *f, const pw_policy *policy,
                      int64_t now);
 
-/* Goes on with the other version, while two share the chats: nobody serves this one any more, or it may
-** be bad. 0 when there is none, or it was taken. */
-int pwfl_leave_version(pw_flight *f);
+/* Switches to the model's other version during a rollout, since the current version has no target left
+** or may be faulty. 0 when there is no other version, it is in use already, or the last refusal was for
+** load. */
+int pwfl_switch_version(pw_flight *f);
 
-/* Picks the next target and goes there, or fails. */
+/* Picks the next target and sends the attempt there, or fails the request. */
 void pwfl_place(pw_flights *fs, pw_flight *f, const pw_policy *policy,
                 int64_t now);
 
-/* Asks targets anew that were not told of its pool when they were asked. */
+/* Retries targets whose agents did not know the pool yet. */
 void pwfl_reask(pw_flights *fs, pw_flight *f, const pw_policy *policy,
                 int64_t now);
 
-/* How long it waits before that, ms. */
+/* Pause before the next pwfl_reask, ms. */
 int64_t pwfl_reask_ms(const pw_flight *f);
 
-/* The attempt is known not to have started: to the next target. */
+/* Goes on to the next target after an attempt that provably was not started. */
 void pwfl_hop(pw_flights *fs, pw_flight *f, pw_code code,
               const pw_policy *policy, int64_t now);
 
-/* Sends the Run; the link is up. */
+/* Sends the Run over a link that is up. */
 void pwfl_send_run(pw_flights *fs, pw_flight *f, pw_target *t, int64_t now);
 
-/* The attempt broke: resumes, retries, or fails. */
+/* Handles an attempt that broke off: resumes it, retries it, or fails the
+** request. */
 void pwfl_broken(pw_flights *fs, pw_flight *f, pw_code code,
                  const pw_policy *policy, int64_t now);
 
-/* It was answered with success: its request ends no targets. */
+/* Notes that a target answered the request with success, so it does not crash
+** targets. */
 void pwfl_note_answered(pw_flights *fs, const pw_flight *f, int64_t now);
 
-/* Its target ended while it had the request, or its agent did. */
-void pwfl_note_ended(pw_flights *fs, const pw_flight *f, int64_t now);
+/* Notes that the target or its agent crashed while it ran the request. */
+void pwfl_note_crash(pw_flights *fs, const pw_flight *f, int64_t now);
 
-/* Ends it when it is in quarantine; gives whether it did. */
-int pwfl_end_quarantined(pw_flights *fs, pw_flight *f, int64_t now);
+/* Fails the request if it is in quarantine. Returns whether it was. */
+int pwfl_refuse_quarantined(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* Resumes after its pause. */
+/* Sends the resuming attempt after the pause of F_PAUSING. */
 void pwfl_end_pause(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* Tells the agent how far the caller has read. */
+/* Tells the agent the offset up to which the caller has read. */
 void pwfl_send_credit(pw_flights *fs, pw_flight *f, uint64_t offset);
 
-/* Every attempt on a target broke at once. */
+/* Breaks off every attempt at a target whose link was lost or whose agent was
+** restarted. */
 void pwfl_break_all(pw_flights *fs, const pw_target *t, pw_code code,
                     const pw_policy *policy, int64_t now);
 
-/* Claims the key in the ledger. */
+/* Claims the idempotency key in the once-ledger. */
 void pwfl_send_claim(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* Records the answer in the ledger, or gives the claim back. */
+/* Records the answer in the once-ledger, or releases the claim. */
 void pwfl_send_record(pw_flights *fs, pw_flight *f, int64_t now);
 
 #endif
--- a/packages/entry/pwflight.c
+++ b/packages/entry/pwflight.c
@@ -1,4 +1,4 @@
-/* pwflight.c: an entry's requests in flight: their table, beginning and time.
+/* pwflight.c: table of an entry's requests in flight, their start and time-outs.
  */
 #include "pwfl.h"
 
@@ -6,11 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CLAIM_RETRY_MS 300
-#define CLAIM_GIVE_UP_MS 6000
-#define RECORD_GIVE_UP_MS 30000
-#define GONE_CHECK_MS 500
-#define RESUME_MS 25 /* pause before the first resume; doubles */
+#define CLAIM_RETRY_MS 300      /* unanswered Claims and Records are resent */
+#define CLAIM_GIVE_UP_MS 6000   /* then the caller gets PW_E_NOT_LEADER */
+#define RECORD_GIVE_UP_MS 30000 /* then the claim stays unsettled */
+#define GONE_CHECK_MS 500       /* between checks of a caller's connection */
+#define RESUME_MS 25 /* pause before the first resume, doubled for each next */
 
 pw_flights *pwflight_new(pw_proc *p, pw_sock *dialler, pw_targets *targets,
                          pw_sub *sub, pw_news *news) {
@@ -22,7 +22,7 @@
   fs->news = news;
   fs->quotas = pwquota_new();
   fs->quarantine = pwquar_new();
-  fs->share = PW_RETRY_SHARE;
+  fs->retry_share = PW_RETRY_SHARE;
   pwretry_init(&fs->budget, PW_RETRY_SHARE, PW_RETRY_RESERVE);
   return fs;
 }
@@ -37,7 +37,7 @@
   sodium_bin2hex(out, PW_NAME_MAX, bytes, sizeof bytes);
 }
 
-void pwfl_rename_attempt(pw_flights *fs, pw_flight *f) {
+void pwfl_new_attempt_id(pw_flights *fs, pw_flight *f) {
   HASH_DEL(fs->all, f);
   draw_id(f->attempt);
   HASH_ADD_STR(fs->all, attempt, f);
@@ -46,7 +46,7 @@
 void pwfl_drop(pw_flights *fs, pw_flight *f) {
   HASH_DEL(fs->all, f);
   pwcall_unref(f->call);
-  pwbuf_free(&f->kept);
+  pwbuf_free(&f->record);
   free(f);
   pwcount_set(fs->p->counters, PWC_ACTIVE, pwflight_count(fs));
 }
@@ -84,7 +84,7 @@
   pwfl_send_to(fs, pwfl_target_of(fs, f), &e);
 }
 
-/* The attempt is over for the target: its load is the agent's to tell. */
+/* Leaves t->pending as it is: the agent's next report replaces it. */
 void pwfl_release(pw_flights *fs, pw_flight *f) {
   pw_target *t = pwfl_target_of(fs, f);
   if (t && f->state != F_CLAIMING && f->state != F_RECORDING)
@@ -101,7 +101,7 @@
   pwcall_ref(c);
   f->deadline = now + c->deadline_ms;
   f->since = now;
-  f->checked = now;
+  f->caller_checked_at = now;
   f->walk.key = pwplace_key(c->model, c->chat[0] ? c->chat : c->request);
   f->walk.availability_zone = pwtargets_zone(fs->p->set->availability_zone);
   f->walk.cost = PWBOUND_PROMPT_WEIGHT * c->prompt_tokens + c->output_tokens;
@@ -135,8 +135,8 @@
   return NULL;
 }
 
-/* A caller that went away: its stream is cancelled. What may not be repeated
-** runs on, so that its answer is there for the resend. */
+/* Cancels the request of a caller that hung up. A request that may run only once
+** runs on, so that its recorded answer can be replayed when it is resent. */
 static void abandon(pw_flights *fs, pw_flight *f) {
   if (f->state == F_RECORDING || f->call->never)
     return;
@@ -147,7 +147,7 @@
   pwfl_drop(fs, f);
 }
 
-static void taken(pw_flights *fs, pw_flight *f) {
+static void on_taken(pw_flights *fs, pw_flight *f) {
   pthread_mutex_lock(&f->call->lock);
   uint64_t offset = f->call->taken;
   pthread_mutex_unlock(&f->call->lock);
@@ -157,9 +157,9 @@
 
 void pwflight_note(pw_flights *fs, const pw_note *note, const pw_policy *policy,
                    int may_serve, int64_t now) {
-  if (policy->retry_share != fs->share) {
-    fs->share = policy->retry_share;
-    pwretry_init(&fs->budget, fs->share, PW_RETRY_RESERVE);
+  if (policy->retry_share != fs->retry_share) {
+    fs->retry_share = policy->retry_share;
+    pwretry_init(&fs->budget, fs->retry_share, PW_RETRY_RESERVE);
   }
   if (note->kind == PW_NOTE_NEW) {
     begin(fs, note->call, policy, may_serve, now);
@@ -169,12 +169,12 @@
   if (!f)
     return;
   if (note->kind == PW_NOTE_TAKEN)
-    taken(fs, f);
+    on_taken(fs, f);
   else
     abandon(fs, f);
 }
 
-static void tick_claim(pw_flights *fs, pw_flight *f, int64_t now) {
+static void tick_ledger(pw_flights *fs, pw_flight *f, int64_t now) {
   int recording = f->state == F_RECORDING;
   int64_t limit = recording ? RECORD_GIVE_UP_MS : CLAIM_GIVE_UP_MS;
   if (now - f->since > limit) {
@@ -182,7 +182,7 @@
       pwfl_drop(fs, f);
       return;
     }
-    /* Nothing was run; a claim that yet arrives is given back. */
+    /* Nothing was run. A claim that is granted late is released. */
     pwcall_fail(f->call, PW_E_NOT_LEADER, "", "not-run", 1000);
     f->target = 0;
     pwfl_settle(fs, f, 0, 1, now);
@@ -199,12 +199,12 @@
 static void tick_one(pw_flights *fs, pw_flight *f, const pw_policy *policy,
                      int64_t now) {
   if (f->state == F_CLAIMING || f->state == F_RECORDING) {
-    tick_claim(fs, f, now);
+    tick_ledger(fs, f, now);
     return;
   }
   if (now + PWFL_MARGIN_MS >= f->deadline) {
     pwfl_send_cancel(fs, f);
-    pwfl_fail(fs, f, f->unproven ? PW_E_TIMEOUT : PW_E_DEADLINE, now);
+    pwfl_fail(fs, f, f->maybe_started ? PW_E_TIMEOUT : PW_E_DEADLINE, now);
     return;
   }
   if (f->state == F_PAUSING) {
@@ -229,14 +229,15 @@
       pwfl_hop(fs, f, PW_E_CONNECT, policy, now);
     return;
   }
-  if (now - f->checked < GONE_CHECK_MS)
+  if (now - f->caller_checked_at < GONE_CHECK_MS)
     return;
-  f->checked = now;
+  f->caller_checked_at = now;
   if (pwcall_is_gone(f->call))
     abandon(fs, f);
 }
 
-/* Links with work on them that went silent are asked, then given up. */
+/* Pings silent links that have attempts in flight, and hangs up those that owe
+** an answer for too long. */
 static void tick_links(pw_flights *fs, const pw_policy *policy, int64_t now) {
   int n;
   pw_target **all = pwtargets_all(fs->targets, &n);
@@ -246,11 +247,11 @@
       continue;
     if (pwtargets_silence(t, now) > PW_LINK_LOST - PW_LINK_ASK) {
       pwevent_add(fs->p->events, PWE_LINK_DOWN, 0, NULL, NULL, t->name,
-                  "silent for %lld ms", (long long)(now - t->link_heard));
+                  "no message for %lld ms", (long long)(now - t->link_heard));
       pwtargets_lose(fs->targets, t);
       pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
     } else if (now - t->link_heard > PW_LINK_ASK &&
-               now - t->asked > PW_LINK_ASK) {
+               now - t->pinged_at > PW_LINK_ASK) {
       pwtargets_ask(fs->targets, t, now);
     }
   }
--- a/packages/entry/pwflight.h
+++ b/packages/entry/pwflight.h
@@ -1,9 +1,10 @@
 /* pwflight.h: an entry's requests in flight: attempts, hops, retries, resumes.
-** Belongs to the wire thread.
+** Only the wire thread calls these functions.
 **
-** not-run is told only when every attempt was refused by its agent before the
-** start, or never left this process. Silence is never a proof: a request whose
-** last attempt went silent is unknown. See docs/PROMISES.md. */
+** A request ends as not-run only when every attempt was refused by its agent
+** before the start, or was never sent. Silence proves nothing: a request with an
+** attempt that no agent has refused or answered ends as unknown. See
+** docs/PROMISES.md. */
 #ifndef PWFLIGHT_H
 #define PWFLIGHT_H
 
@@ -22,28 +23,30 @@
 
 int pwflight_count(const pw_flights *fs);
 
-/* Notes from HTTP threads. */
+/* Handles a note from an HTTP thread. */
 void pwflight_note(pw_flights *fs, const pw_note *note, const pw_policy *policy,
                    int may_serve, int64_t now);
 
-/* A message from an agent: Refuse, Head, Chunk, End or a sign of life. */
+/* Handles an agent's message: Refuse, Head, Chunk, End or a load report. */
 void pwflight_message(pw_flights *fs, const pw_peer *from,
                       const Pw__Envelope *e, const pw_policy *policy,
                       int64_t now);
 
-/* Requests under which targets ended, as this entry knows; and as another tells. */
+/* This entry's counts of requests that crash their targets. */
 pw_quarantine *pwflight_quarantine(pw_flights *fs);
+
+/* Takes in the suspected requests that another entry reports. */
 void pwflight_hear_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now);
 
-/* The connection to an agent was lost. */
+/* Handles the loss of the connection to the agent at `addr`. */
 void pwflight_lost(pw_flights *fs, const char *addr, const pw_policy *policy,
                    int64_t now);
 
-/* The ledger's answer to a Claim or Record. */
+/* Handles the once-ledger's answer to a Claim or Record. */
 void pwflight_claimed(pw_flights *fs, const Pw__Claimed *claimed,
                       const pw_policy *policy, int64_t now);
 
-/* Deadlines, silent links, claims to resend, callers that hung up. */
+/* Handles deadlines, silent links, claims to resend, and callers that hung up. */
 void pwflight_tick(pw_flights *fs, const pw_policy *policy, int64_t now);
 
 #endif
--- a/packages/entry/pwquota.c
+++ b/packages/entry/pwquota.c
@@ -1,4 +1,4 @@
-/* pwquota.c: workspaces' token limits at one entry. */
+/* pwquota.c: one entry's share of the workspaces' token rate limits. */
 #include "pwquota.h"
 
 #include "pwbudget.h"
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-#define BURST_S 2 /* seconds of its limit a workspace may use at once */
+#define BURST_S 2 /* size of a burst, in seconds of the workspace's limit */
 
 typedef struct quota {
   char workspace[PW_NAME_MAX];
@@ -45,7 +45,7 @@
   return q;
 }
 
-/* Goes into debt: a request larger than the burst can run, too. */
+/* The bucket may go into debt, so that a request larger than the burst can run. */
 int64_t pwquota_take(pw_quotas *qs, const pw_workspace *w, uint32_t entries,
                      double tokens, int64_t now) {
   double rate = w->tokens_per_s / (entries ? entries : 1);
--- a/packages/entry/pwquota.h
+++ b/packages/entry/pwquota.h
@@ -1,4 +1,4 @@
-/* pwquota.h: workspaces' token limits at one entry. */
+/* pwquota.h: one entry's share of the workspaces' token rate limits. */
 #ifndef PWQUOTA_H
 #define PWQUOTA_H
 
@@ -11,9 +11,9 @@
 pw_quotas *pwquota_new(void);
 void pwquota_free(pw_quotas *qs);
 
-/* Takes a request's tokens from its workspace's limit, of which each of
-** `entries` has an equal share: no counter is common to them. Gives 0, or the
-** ms until there is room. */
+/* Charges a request's tokens to its workspace's rate limit. Each of `entries`
+** enforces an equal share of the limit, since entries share no counter. Returns
+** 0, or the ms until the request fits. */
 int64_t pwquota_take(pw_quotas *qs, const pw_workspace *w, uint32_t entries,
                      double tokens, int64_t now);
 
--- a/packages/entry/pwreport.c
+++ b/packages/entry/pwreport.c
@@ -9,17 +9,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROW_BYTES 70       /* of one load in a message, about */
-#define HEAD_BYTES 80      /* of the rest */
-#define BYTES_PER_S 4000.0 /* budget for telling peers */
-#define REFRESH_MS 5000    /* an unchanged load is told this often */
-#define ROWS_MAX 256
-#define SUSPECTS_MS 100 /* as gateways tell each other */
-#define OWN_MS 15000    /* an agent that told us within this is ours */
+#define ROW_BYTES 70       /* approximate size of one load in a message */
+#define HEAD_BYTES 80      /* approximate size of the rest of a message */
+#define BYTES_PER_S 4000.0 /* budget for reports to all peers */
+#define REFRESH_MS 5000    /* an unchanged load is resent after this time */
+#define ROWS_MAX 256       /* loads in one message */
+#define SUSPECTS_MS 100    /* between messages on suspects, as at gateways */
+#define OWN_MS 15000       /* an agent that reported here within this is ours */
 
+/* A target whose agent reports to this entry. */
 typedef struct own {
   uint64_t id;
-  int64_t at;
+  int64_t at; /* newest report */
 } own;
 
 struct pw_reports {
@@ -29,8 +30,8 @@
   pw_peer peer[PW_LIST_MAX];
   int npeers;
   pw_bucket bucket;
-  int64_t sent;
-  int64_t suspected; /* when suspects were told last */
+  int64_t sent;             /* last message with loads */
+  int64_t suspects_sent_at; /* last message with suspects */
   own *mine;
   int nmine;
   int cap;
@@ -100,18 +101,18 @@
   l->incarnation = t->incarnation;
   l->age = (uint32_t)(now - t->report.at);
   l->retry_after = t->retry_after;
-  if (t->held_until > t->report.at)
-    l->held_off = (uint64_t)(t->held_until - t->report.at);
+  if (t->hold_off_until > t->report.at)
+    l->held_off = (uint64_t)(t->hold_off_until - t->report.at);
   l->turned_away = pwreject_is_recent(&t->rejects, t->report.at);
 }
 
 static int is_due(const pw_target *t, int64_t now) {
   if (t->incarnation == 0)
     return 0;
-  return t->changed || now - t->told > REFRESH_MS;
+  return t->changed || now - t->reported_at > REFRESH_MS;
 }
 
-/* Rows for the targets of ours that have something to tell. */
+/* Collects the loads of own targets that are due for a report. */
 static int gather(pw_reports *r, Pw__Load *rows, Pw__Load **list, int64_t now) {
   int n = 0;
   for (int i = 0; i < r->nmine && n < ROWS_MAX; i++) {
@@ -121,21 +122,21 @@
     fill_row(&rows[n], t, now);
     list[n] = &rows[n];
     t->changed = 0;
-    t->told = now;
+    t->reported_at = now;
     n++;
   }
   return n;
 }
 
 void pwreport_suspects(pw_reports *r, pw_quarantine *q, int64_t now) {
-  pw_suspects told;
-  if (!r->npeers || now - r->suspected < SUSPECTS_MS ||
-      !pwsuspects_fill(&told, q, now))
+  pw_suspects due;
+  if (!r->npeers || now - r->suspects_sent_at < SUSPECTS_MS ||
+      !pwsuspects_fill(&due, q, now))
     return;
-  r->suspected = now;
+  r->suspects_sent_at = now;
   Pw__Loads loads = PW__LOADS__INIT;
-  loads.suspects = told.list;
-  loads.n_suspects = told.n;
+  loads.suspects = due.list;
+  loads.n_suspects = due.n;
   for (int i = 0; i < r->npeers; i++) {
     Pw__Envelope e = PW_ENVELOPE(LOADS, loads, &loads);
     pwwire_send(r->sock, &r->peer[i], &e);
--- a/packages/entry/pwsuspicion.c
+++ b/packages/entry/pwsuspicion.c
@@ -1,4 +1,4 @@
-/* pwsuspicion.c: what an entry notes of requests under which targets end. */
+/* pwsuspicion.c: tracks requests that crash their targets. */
 #include "pwfl.h"
 
 #include "pwlog.h"
@@ -6,43 +6,47 @@
 
 #include <xxhash.h>
 
-/* All entries see an end within so long, and no target starts and ends again within it. */
-#define END_SPAN_MS 2000
+/* All entries see a crash within this time, and no target restarts and crashes again within it. */
+#define CRASH_SPAN_MS 2000
 
-static void note_suspect(pw_flights *fs, uint64_t sign, pw_quar_news news) {
+/* Updates the counter, and logs the begin and end of a quarantine. */
+static void note_suspect(pw_flights *fs, uint64_t fingerprint,
+                         pw_quar_news news) {
   const pw_quarantine *q = fs->quarantine;
   if (news == PWQUAR_OLD)
     return;
   pwcount_set(fs->p->counters, PWC_ENDED_UNDER, pwquar_total(q));
   if (news == PWQUAR_BEGUN || news == PWQUAR_RELEASED)
     pwlog(LOG_WARNING, news == PWQUAR_BEGUN ? "quarantined" : "released",
-          "sign=%016llx ends=%d", (unsigned long long)sign,
-          pwquar_ends(q, sign));
+          "sign=%016llx ends=%d", (unsigned long long)fingerprint,
+          pwquar_ends(q, fingerprint));
 }
 
-static void hear_suspect(void *arg, uint64_t sign, pw_quar_news news) {
-  note_suspect(arg, sign, news);
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news news) {
+  note_suspect(arg, fingerprint, news);
 }
 
 void pwflight_hear_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now) {
-  pwsuspects_take(fs->quarantine, m->suspects, m->n_suspects, now, hear_suspect,
+  pwsuspects_take(fs->quarantine, m->suspects, m->n_suspects, now, on_suspect,
                   fs);
 }
 
-/* One start of a target: agents outlive what they stand before and do not tell its starts apart. */
-static uint64_t start_of(const pw_target *t) {
-  uint64_t both[2] = {t->id, (uint64_t)(pwclock_wall_ms() / END_SPAN_MS)};
+/* Identifies one incarnation of a target by the time of its crash: an agent outlives its target and does
+** not report the target's restarts. */
+static uint64_t incarnation_of(const pw_target *t) {
+  uint64_t both[2] = {t->id, (uint64_t)(pwclock_wall_ms() / CRASH_SPAN_MS)};
   return XXH3_64bits(both, sizeof both);
 }
 
-void pwfl_note_ended(pw_flights *fs, const pw_flight *f, int64_t now) {
+void pwfl_note_crash(pw_flights *fs, const pw_flight *f, int64_t now) {
   const pw_target *t = pwfl_target_of(fs, f);
   if (t)
-    note_suspect(fs, f->call->sign,
-                 pwquar_ended(fs->quarantine, f->call->sign, start_of(t), now));
+    note_suspect(fs, f->call->fingerprint,
+                 pwquar_ended(fs->quarantine, f->call->fingerprint,
+                              incarnation_of(t), now));
 }
 
 void pwfl_note_answered(pw_flights *fs, const pw_flight *f, int64_t now) {
-  note_suspect(fs, f->call->sign,
-               pwquar_answered(fs->quarantine, f->call->sign, now));
+  note_suspect(fs, f->call->fingerprint,
+               pwquar_answered(fs->quarantine, f->call->fingerprint, now));
 }
--- a/packages/entry/pwtargets.c
+++ b/packages/entry/pwtargets.c
@@ -1,4 +1,4 @@
-/* pwtargets.c: an entry's table of targets. */
+/* pwtargets.c: an entry's table of targets and pools. */
 #include "pwtargets.h"
 
 #include "pwassign.h"
@@ -14,10 +14,10 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-#define TABLE_THREADS 3      /* besides the wire thread */
-#define CLOCK_MARGIN_PPM 200 /* two clocks drift apart by no more */
+#define TABLE_THREADS 3      /* that build tables besides the wire thread */
+#define CLOCK_MARGIN_PPM 200 /* largest drift between two clocks */
 
-/* A target that no report has named for this long is taken for dead. */
+/* A target without a report for this long counts as unresponsive. */
 #define ALIVE_MS 10000
 
 typedef struct row {
@@ -27,11 +27,11 @@
 
 typedef struct pool {
   char name[PWASSIGN_POOL];
-  uint64_t shape; /* hash of members and weights that place was built from */
-  pw_place *place;
-  uint64_t *id; /* members, sorted */
+  uint64_t shape;  /* hash of the members and weights of `place` */
+  pw_place *place; /* placement table */
+  uint64_t *id;    /* members, sorted */
   int n;
-  int marked;
+  int marked; /* has a member, during pwtargets_update */
   pw_pool_sum sum;
   UT_hash_handle hh;
 } pool;
@@ -41,13 +41,13 @@
   pw_sock *sock;
   row *rows;
   pool *pools;
-  pw_target **all; /* kept for pwtargets_all */
+  pw_target **all; /* result of pwtargets_all */
   struct {
     uint64_t draw;
     int64_t now;
     double limit;
     int spares_retries;
-  } pick; /* what pwtargets_pool was asked with */
+  } pick; /* arguments of the last pwtargets_pool, for get_route */
 };
 
 pw_targets *pwtargets_new(pw_proc *p, pw_sock *dialler) {
@@ -131,7 +131,7 @@
   pw_copy(r->t.name, sizeof r->t.name, name);
   r->t.link_heard = INT64_MIN / 2;
   r->t.heard = INT64_MIN / 2;
-  r->t.asked = INT64_MIN / 2;
+  r->t.pinged_at = INT64_MIN / 2;
   pwbreak_init(&r->t.breaker, now, 0);
   HASH_ADD(hh, t->rows, t.id, sizeof r->t.id, r);
   return &r->t;
@@ -151,7 +151,7 @@
       pwtargets_zone(pwjson_text(spec, "availability_zone"));
   int drain = json_is_true(json_object_get(spec, "drain"));
   if (one->drain && !drain)
-    one->leaving = 0; /* as reported before; its agent knows better */
+    one->leaving = 0; /* outdated: the next report says whether it leaves */
   one->drain = drain;
   one->marked = 1;
 }
@@ -167,7 +167,7 @@
   return p;
 }
 
-/* Members found while the resources are read, by pool. */
+/* A target that was read as a member of a pool. */
 typedef struct member {
   pool *p;
   uint64_t id;
@@ -178,15 +178,15 @@
   size_t n, cap;
 } members;
 
-/* A target whose pools are read. */
-typedef struct joining {
+/* The target whose pools are being read. */
+typedef struct pool_reader {
   pw_targets *t;
   members *all;
   uint64_t id;
-} joining;
+} pool_reader;
 
 static void add_member(void *arg, const char *name) {
-  joining *j = arg;
+  pool_reader *j = arg;
   members *all = j->all;
   if (all->n == all->cap) {
     all->cap = all->cap ? all->cap * 2 : 64;
@@ -200,7 +200,7 @@
   all->m[all->n++] = (member){p, j->id};
 }
 
-static void add_services(joining *j, const json_t *names) {
+static void add_services(pool_reader *j, const json_t *names) {
   size_t i;
   const json_t *name;
   json_array_foreach(names, i, name) {
@@ -214,7 +214,7 @@
   return (x > y) - (x < y);
 }
 
-/* A pool's members as read, and its table if that is to be built anew. */
+/* A pool's members as read, and its new placement table if one is due. */
 typedef struct build {
   pool *p;
   uint64_t *id;
@@ -230,8 +230,8 @@
   atomic_int next;
 } builds;
 
-/* A draining target keeps its place: its chats spill along the ranks and come
-** home when the drain is lifted. */
+/* A draining target stays in the placement table: its chats go to the next ranks
+** and return when the drain is lifted. */
 static void read_pool(const pw_targets *t, pool *p, const members *all,
                       build *out) {
   *out = (build){.p = p};
@@ -250,7 +250,7 @@
   p->shape = shape;
 }
 
-static void *build_some(void *arg) {
+static void *build_next(void *arg) {
   builds *bs = arg;
   int i;
   while ((i = atomic_fetch_add(&bs->next, 1)) < bs->n) {
@@ -261,8 +261,8 @@
   return NULL;
 }
 
-/* Tables are built side by side: at the start of a large region they take
-** seconds. */
+/* Builds the tables in several threads, since they take seconds at the start of a
+** large region. */
 static void build_tables(builds *bs) {
   pthread_t thread[TABLE_THREADS];
   int due = 0;
@@ -270,14 +270,14 @@
   for (int i = 0; i < bs->n; i++)
     due += bs->b[i].is_due;
   while (n < due - 1 && n < TABLE_THREADS &&
-         pthread_create(&thread[n], NULL, build_some, bs) == 0)
+         pthread_create(&thread[n], NULL, build_next, bs) == 0)
     n++;
-  build_some(bs);
+  build_next(bs);
   for (int i = 0; i < n; i++)
     pthread_join(thread[i], NULL);
 }
 
-static void take_build(pw_targets *t, build *b) {
+static void apply_build(pw_targets *t, build *b) {
   pool *p = b->p;
   if (b->is_due) {
     pwcount_add(t->p->counters, PWC_TABLES, 1);
@@ -296,7 +296,7 @@
     read_pool(t, p, all, &bs.b[bs.n++]);
   build_tables(&bs);
   for (int i = 0; i < bs.n; i++)
-    take_build(t, &bs.b[i]);
+    apply_build(t, &bs.b[i]);
   free(bs.b);
 }
 
@@ -313,7 +313,7 @@
   }
 }
 
-static int is_near(const pw_targets *t, const json_t *spec) {
+static int is_in_region(const pw_targets *t, const json_t *spec) {
   const char *region = pwjson_text(spec, "region");
   return !region[0] || !t->p->set->region[0] ||
          !strcmp(region, t->p->set->region);
@@ -330,9 +330,9 @@
     if (!pwres_is(one, "target"))
       continue;
     json_t *spec = json_loads(one->spec, 0, NULL);
-    if (is_near(t, spec)) {
+    if (is_in_region(t, spec)) {
       read_target(t, one->name, spec, now);
-      joining j = {t, &all, pwplace_id(one->name)};
+      pool_reader j = {t, &all, pwplace_id(one->name)};
       pwassign_read(r, one->name, a);
       pwassign_pools(a, json_object_get(spec, "models"), add_member, &j);
       add_services(&j, json_object_get(spec, "services"));
@@ -354,8 +354,8 @@
   pw_target *one = pwtargets_by_name(t, load->target);
   if (!one || at < one->report.at)
     return 0;
-  int reborn = one->incarnation != load->incarnation;
-  if (reborn) {
+  int restarted = one->incarnation != load->incarnation;
+  if (restarted) {
     if (one->incarnation != 0)
       pwbreak_init(&one->breaker, now, 1);
     one->incarnation = load->incarnation;
@@ -365,20 +365,21 @@
     one->clock = load->clock;
     one->clock_at = now;
   }
-  double moved = (double)load->tokens - one->report.tokens;
-  if (moved > one->report.tokens / 10 || moved < -one->report.tokens / 10 ||
-      one->leaving != load->leaving || load->held_off || one->held_until > now)
+  double change = (double)load->tokens - one->report.tokens;
+  if (change > one->report.tokens / 10 || change < -one->report.tokens / 10 ||
+      one->leaving != load->leaving || load->held_off ||
+      one->hold_off_until > now)
     one->changed = 1;
   one->report = (pw_report){(double)load->tokens, (double)load->rate, at};
   one->leaving = load->leaving;
   one->queued = load->queued;
   one->retry_after = load->retry_after;
-  one->held_until = load->held_off ? at + (int64_t)load->held_off : 0;
+  one->hold_off_until = load->held_off ? at + (int64_t)load->held_off : 0;
   if (load->turned_away)
     pwreject_note(&one->rejects, at);
   one->pending = 0;
   one->heard = at;
-  return reborn;
+  return restarted;
 }
 
 void pwtargets_ask(pw_targets *t, pw_target *one, int64_t now) {
@@ -392,13 +393,13 @@
   ping.clock = now;
   Pw__Envelope e = PW_ENVELOPE(PING, ping, &ping);
   pwwire_send(t->sock, &one->peer, &e);
-  if (one->asked <= one->link_heard)
+  if (one->pinged_at <= one->link_heard)
     one->unanswered = now;
-  one->asked = now;
+  one->pinged_at = now;
 }
 
 int64_t pwtargets_silence(const pw_target *one, int64_t now) {
-  return one->asked > one->link_heard ? now - one->unanswered : 0;
+  return one->pinged_at > one->link_heard ? now - one->unanswered : 0;
 }
 
 int pwtargets_is_fresh(const pw_target *one, int64_t now) {
@@ -418,8 +419,9 @@
   return one->clock + passed - passed * CLOCK_MARGIN_PPM / 1000000;
 }
 
-/* Silent by every way, or on a link that does not come up. */
-static int is_silent(const pw_target *one, int64_t now) {
+/* Whether nothing is heard of the target: its link does not come up, or no report
+** has arrived for ALIVE_MS. */
+static int is_unresponsive(const pw_target *one, int64_t now) {
   if (one->link == PW_LINK_UP)
     return 0;
   if (one->link == PW_LINK_OPENING && now - one->dialled_at > PW_LINK_OPEN)
@@ -427,16 +429,21 @@
   return one->incarnation != 0 && now - one->heard > ALIVE_MS;
 }
 
-/* It has asked for no requests, or turns them away and there are few retries left. */
-static int turns_away(const pw_target *one, int spares_retries, int64_t now) {
-  return now < one->held_until ||
+/* Whether the target has pinged_at for a hold-off, or has recently rejected requests while retries are scarce.
+*/
+static int rejects_requests(const pw_target *one, int spares_retries,
+                            int64_t now) {
+  return now < one->hold_off_until ||
          (spares_retries && pwreject_is_recent(&one->rejects, now));
 }
 
-static int is_aside(const pw_targets *t, const pw_target *one, uint64_t draw) {
+/* Whether requests go to the target only when no other is left. */
+static int is_avoided(const pw_targets *t, const pw_target *one,
+                      uint64_t draw) {
   int64_t now = t->pick.now;
   double share = (double)(draw >> 40) / (double)(1 << 24);
-  return is_silent(one, now) || turns_away(one, t->pick.spares_retries, now) ||
+  return is_unresponsive(one, now) ||
+         rejects_requests(one, t->pick.spares_retries, now) ||
          !pwbreak_allows(&one->breaker, now, share);
 }
 
@@ -445,7 +452,7 @@
   for (int i = 0; i < p->n; i++) {
     const pw_target *one = pwtargets_by_id(t, p->id[i]);
     if (one->drain || one->leaving)
-      continue; /* neither its load nor its place counts */
+      continue; /* neither its load nor its capacity counts */
     p->sum.targets++;
     pwpool_add(&p->sum, &one->report);
   }
@@ -464,9 +471,9 @@
   uint64_t draw = t->pick.draw ^ id * 0x9e3779b97f4a7c15ULL;
   *out = (pw_route_target){.id = id,
                            .usable = !one->drain && !one->leaving,
-                           .aside = is_aside(t, one, draw),
+                           .aside = is_avoided(t, one, draw),
                            .joining = pwbreak_is_joining(&one->breaker) &&
-                                      !is_silent(one, t->pick.now),
+                                      !is_unresponsive(one, t->pick.now),
                            .availability_zone = one->availability_zone,
                            .load = pwreport_low(&one->report, t->pick.now) +
                                    one->pending,
@@ -489,7 +496,7 @@
   return 1;
 }
 
-static int holds(const pool *p, uint64_t id) {
+static int has_member(const pool *p, uint64_t id) {
   return bsearch(&id, p->id, (size_t)p->n, sizeof id, by_value) != NULL;
 }
 
@@ -498,7 +505,7 @@
   uint64_t id = pwplace_id(target);
   int n = 0;
   for (pool *p = t->pools; p && n < max; p = p->hh.next) {
-    if (!p->n || !holds(p, id))
+    if (!p->n || !has_member(p, id))
       continue;
     names[n] = p->name;
     out[n++] = p->sum;
