--- a/packages/agent/pwag.h
+++ b/packages/agent/pwag.h
@@ -1,4 +1,5 @@
-/* pwag.h: an agent's state, for pwagent.c, pwagrun.c and pwagwork.c alone. */
+/* pwag.h: an agent's state, internal declarations. Only pwagent.c, pwagrun.c and
+** pwagwork.c include it. */
 #ifndef PWAG_H
 #define PWAG_H
 
@@ -17,19 +18,20 @@
 
 #include <uthash.h>
 
-/* Attempt ids seen, in order of arrival. */
+/* An attempt id received before. The table is in order of arrival. */
 typedef struct pw_seen {
   char attempt[PW_NAME_MAX];
   UT_hash_handle hh;
 } pw_seen;
 
-typedef struct pw_held {
+/* An attempt that is queued or running here. */
+typedef struct pw_ag_job {
   char attempt[PW_NAME_MAX];
   pw_job *job;
-  int cancelled; /* the entry gave it up */
-  int64_t heard; /* last word from the entry about it */
+  int cancelled; /* the worker reads no further, the entry gets no more chunks */
+  int64_t heard; /* last message from its entry, ms */
   UT_hash_handle hh;
-} pw_held;
+} pw_ag_job;
 
 typedef struct pw_agent {
   pw_proc *p;
@@ -40,57 +42,62 @@
   pw_sub *sub;
   pw_workers *workers;
   pw_admit admit;
-  pw_reject rejects;  /* what the target turned away lately, with room */
-  pw_cache cache;     /* what the target is believed to have cached */
-  pw_kvfeed *kvfeed;  /* its cache events */
-  pw_move move;       /* prices of computing and moving prefixes */
-  pw_chats *pointers; /* chats displaced from here */
-  pw_held *jobs;
+  pw_reject rejects;  /* recent rejections although the target had room */
+  pw_cache cache;     /* estimate of what the target has cached */
+  pw_kvfeed *kvfeed;  /* cache events of the target */
+  pw_move move;       /* estimated costs of computing and moving prefixes */
+  pw_chats *pointers; /* targets that now hold chats which belong here */
+  pw_ag_job *jobs;
   pw_unheard *unheard;
   pw_seen *seen;
-  pw_carry carry;  /* what the target is to carry */
-  int64_t news_at; /* when its state last changed */
+  pw_carry carry;           /* desired state of the target */
+  int64_t state_changed_at; /* when the target's state was last found changed */
   pw_policy policy;
-  int64_t acted; /* when the target was last told what it is to carry */
-  int64_t stop_at;
+  int64_t applied_at; /* last pwcarry_act */
+  int64_t stop_at;    /* when stopping began; 0: not stopping */
 } pw_agent;
 
-/* Why, and what may help elsewhere. */
+/* Why an attempt is refused, and hints for the entry's next choice. */
 typedef struct pw_ag_refusal {
   pw_code code;
-  uint32_t wait, worth; /* ms, as pw_admit_answer has them */
-  uint32_t kv_tokens;   /* prefix that another engine may take over */
-  const char *pointer;  /* target that has the prefix, or NULL */
+  uint32_t wait, worth; /* ms, as in pw_admit_answer */
+  uint32_t kv_tokens;   /* cached prefix that another engine may take over */
+  const char *pointer;  /* target that has the prefix cached, or NULL */
 } pw_ag_refusal;
 
-/* Whether it takes no new work: its target drains, or the process stops. */
+/* Whether the agent takes no new work, since its target drains or the process
+** stops. */
 int pwag_is_leaving(const pw_agent *a);
 
-/* The target's load as of now. */
+/* Fills in the target's current load. */
 void pwag_fill_load(pw_agent *a, Pw__Load *l, int64_t now);
 
-/* Tells an entry that the attempt was not started, and will not be. */
+/* Tells an entry that the attempt was not started and will not be. */
 void pwag_refuse(pw_agent *a, const pw_peer *to, const Pw__Run *run,
                  const pw_ag_refusal *why, int64_t now);
 
-/* The job of an attempt, or NULL; and its end, with what it held. */
-pw_held *pwag_held(pw_agent *a, const char *attempt);
-void pwag_let_go(pw_agent *a, pw_held *h);
+/* The queued or running attempt of that id, or NULL. */
+pw_ag_job *pwag_job(pw_agent *a, const char *attempt);
 
-/* Starts what waits and may start. */
+/* Removes and frees an attempt that has ended. */
+void pwag_release(pw_agent *a, pw_ag_job *h);
+
+/* Starts the queued attempts that admission control lets start. */
 void pwag_start_queued(pw_agent *a, int64_t now);
 
-/* A queued job that will not be started: refused with proof. */
+/* Refuses and frees a queued job, which proves that it was not started. */
 void pwag_refuse_queued(pw_agent *a, pw_job *j, pw_code code, int64_t now);
 
-/* Its entry does not want it any more, or is lost. */
-void pwag_cancel(pw_agent *a, pw_held *h, int64_t now);
+/* Cancels an attempt whose entry does not want it any more or is lost. */
+void pwag_cancel(pw_agent *a, pw_ag_job *h, int64_t now);
 
-/* Takes what entries and workers have sent. */
+/* Handles the messages of entries. */
 void pwag_on_listener(pw_agent *a, int64_t now);
+
+/* Handles the notes of workers. */
 void pwag_on_mail(pw_agent *a, int64_t now);
 
-/* Cancels streams that rested for too long after their entry was lost. */
-void pwag_expire_unheard(pw_agent *a, int64_t now);
+/* Cancels streams that were not resumed in time after their entry was lost. */
+void pwag_expire_detached(pw_agent *a, int64_t now);
 
 #endif
--- a/packages/agent/pwagent.c
+++ b/packages/agent/pwagent.c
@@ -1,4 +1,4 @@
-/* pwagent.c: the agent role. */
+/* pwagent.c: the agent role: its sockets, its event loop and its periodic work. */
 #include "pwagent.h"
 
 #include "pwag.h"
@@ -9,16 +9,16 @@
 #include <zmq.h>
 
 #define TICK_MS 10
-#define IDLE_TICK_MS 50 /* with no request; what arrives wakes it at once */
-#define ACT_MS 50       /* between looks at what the target is to carry */
-#define SPARE_WORKERS 2 /* for cancels */
-#define PEER_LOST_MS 10000
+#define IDLE_TICK_MS 50    /* without jobs; a message ends the wait at once */
+#define APPLY_MS 50        /* between calls of pwcarry_act */
+#define SPARE_WORKERS 2    /* besides one a slot, for cancels */
+#define PEER_LOST_MS 10000 /* a silent entry counts as lost after this time */
 
 /* --- configuration --- */
 
-/* Queued for a pool that the target is in no longer: refused with proof. */
-static void refuse_outside(pw_agent *a, int64_t now) {
-  pw_held *h, *tmp;
+/* Refuses queued jobs of pools that the target is no longer in. */
+static void refuse_removed_pools(pw_agent *a, int64_t now) {
+  pw_ag_job *h, *tmp;
   HASH_ITER(hh, a->jobs, h, tmp) {
     pw_job *j = h->job;
     if (!j->started && !pwcarry_pool(&a->carry, j->run->pool) &&
@@ -30,8 +30,8 @@
 static void resources_changed(pw_agent *a, int64_t now) {
   const pw_res *r = pwsub_resources(a->sub);
   if (pwcarry_update(&a->carry, r))
-    pwcache_restarted(&a->cache); /* a version's cache is no other's */
-  refuse_outside(a, now);
+    pwcache_restarted(&a->cache); /* a cache belongs to one version */
+  refuse_removed_pools(a, now);
   pwview_read_policy(r, &a->policy);
   a->admit.reuse = a->policy.reuse_worth;
   a->admit.bound = a->policy.bound;
@@ -52,9 +52,9 @@
   }
 }
 
-/* --- time --- */
+/* --- periodic work --- */
 
-static void say_hello(pw_agent *a, int64_t now) {
+static void send_hello(pw_agent *a, int64_t now) {
   if (!pwsub_due(a->sub, now))
     return;
   Pw__Load load;
@@ -71,32 +71,33 @@
   h.stopping = atomic_load(&a->p->stopping) != 0;
   Pw__TargetState state;
   Pw__TargetState *states[1] = {&state};
-  int news = pwcarry_has_news(&a->carry);
-  a->news_at = news ? now : a->news_at;
-  int tell = a->news_at >= pwsub_told_at(a->sub);
-  if (tell) {
+  int has_changed = pwcarry_has_news(&a->carry);
+  a->state_changed_at = has_changed ? now : a->state_changed_at;
+  int send_state = a->state_changed_at >= pwsub_told_at(a->sub);
+  if (send_state) {
     pwcarry_state(&a->carry, &state);
     h.states = states;
     h.n_states = 1;
   }
   pwsub_hello(a->sub, &h, now);
-  if (tell)
+  if (send_state)
     pworder_state_clear(&state);
 }
 
 static int is_busy(void *arg, const char *model) {
   const pw_agent *a = arg;
-  for (const pw_held *h = a->jobs; h; h = h->hh.next)
+  for (const pw_ag_job *h = a->jobs; h; h = h->hh.next)
     if (pwcarry_is_of(h->job->run->pool, model))
       return 1;
   return 0;
 }
 
-/* Orders may go out as long as this process may serve. */
-static void act(pw_agent *a, int64_t now) {
-  if (now - a->acted < ACT_MS)
+/* Has the desired state applied. Orders may be sent as long as this process may
+** serve. */
+static void apply_desired(pw_agent *a, int64_t now) {
+  if (now - a->applied_at < APPLY_MS)
     return;
-  a->acted = now;
+  a->applied_at = now;
   int64_t touch = pwsub_touch_age(a->sub, now);
   int64_t left = touch < 0 ? 0 : a->p->set->agent_stale - touch;
   pwcarry_act(&a->carry, is_busy, a, now + left);
@@ -104,13 +105,13 @@
     pwsub_hurry(a->sub);
 }
 
-/* Jobs whose deadline has passed in the queue, and those whose entry is lost.
- */
+/* Ends queued jobs whose deadline has passed, and jobs whose entry is lost while
+** they wait for it. */
 static void expire_jobs(pw_agent *a, int64_t now) {
   pw_job *j;
   while ((j = pwqueue_expired(a->admit.queue, now)) != NULL)
     pwag_refuse_queued(a, j, PW_E_DEADLINE, now);
-  pw_held *h, *tmp;
+  pw_ag_job *h, *tmp;
   HASH_ITER(hh, a->jobs, h, tmp) {
     int waiting = !h->job->started || pwjob_is_blocked(h->job);
     if (waiting && now - h->heard > PEER_LOST_MS)
@@ -118,37 +119,39 @@
   }
 }
 
-/* Cache events: what is missing between two of them is asked for as a whole. */
-static void hear_cache(pw_agent *a) {
-  pw_cache_news news;
-  if (!pwkvfeed_take(a->kvfeed, &news))
+/* Takes in cache events. When events are missing, a snapshot is requested. */
+static void read_cache_events(pw_agent *a) {
+  pw_cache_news update;
+  if (!pwkvfeed_take(a->kvfeed, &update))
     return;
-  int whole = pwcache_news(&a->cache, &news);
-  pwcount_add(a->p->counters, PWC_CACHE_EVENTS, (int64_t)news.n);
-  if (!whole)
+  int is_complete = pwcache_news(&a->cache, &update);
+  pwcount_add(a->p->counters, PWC_CACHE_EVENTS, (int64_t)update.n);
+  if (!is_complete)
     pwcount_add(a->p->counters, PWC_CACHE_GAPS, 1);
-  pwkvfeed_clear(&news);
-  pwkvfeed_go_on(a->kvfeed, a->cache.seen, !whole);
+  pwkvfeed_clear(&update);
+  pwkvfeed_go_on(a->kvfeed, a->cache.seen, !is_complete);
 }
 
 static void tick(pw_agent *a, int64_t now) {
-  hear_cache(a);
-  say_hello(a, now);
+  read_cache_events(a);
+  send_hello(a, now);
   expire_jobs(a, now);
-  pwag_expire_unheard(a, now);
+  pwag_expire_detached(a, now);
   pwag_start_queued(a, now);
-  act(a, now);
+  apply_desired(a, now);
   pwproc_set_ready(a->p, pwsub_may_serve(a->sub, now) && !pwag_is_leaving(a));
 }
 
-/* Jobs that somebody still waits for. */
+/* Counts the jobs that were not cancelled. */
 static int live_jobs(const pw_agent *a) {
   int n = 0;
-  for (const pw_held *h = a->jobs; h; h = h->hh.next)
+  for (const pw_ag_job *h = a->jobs; h; h = h->hh.next)
     n += !h->cancelled;
   return n;
 }
 
+/* Whether the loop may end: the limit has passed, or no job is left and the parent
+** has had time to receive the last Hello. */
 static int may_end(pw_agent *a, int64_t now) {
   int stopping = atomic_load(&a->p->stopping);
   if (!stopping)
@@ -218,7 +221,8 @@
   a->workers = pwjob_workers(a->mail, set->agent_url,
                              (int)set->agent_slots + SPARE_WORKERS,
                              (int)set->agent_engine_timeout);
-  int is_engine = !strcmp(set->agent_kind, "engine"); /* a service has none */
+  int is_engine =
+      !strcmp(set->agent_kind, "engine"); /* a service has no cache */
   a->kvfeed =
       pwkvfeed_start(set->agent_url, is_engine ? set->agent_cache_events : 0);
   pwadmit_init(&a->admit, (int)set->agent_slots, (int)set->agent_queue,
@@ -229,23 +233,24 @@
   a->pointers = pwchat_new(PW_POINTERS_MAX, PW_POINTER_KEEP_MS);
 }
 
-/* Breaks off what is left and waits for the workers. A worker that waits for a
-** silent target keeps its job and the mailbox. */
+/* Cancels the remaining jobs and waits for the workers. Returns -1, and leaves the
+** jobs and the mailbox in place, when a worker still waits for an unresponsive
+** target. */
 static int end_jobs(pw_agent *a) {
-  pw_held *h, *tmp;
+  pw_ag_job *h, *tmp;
   HASH_ITER(hh, a->jobs, h, tmp) {
     pwjob_cancel(h->job);
   }
-  int stuck = pwjob_workers_free(a->workers);
-  if (!stuck)
+  int is_blocked = pwjob_workers_free(a->workers);
+  if (!is_blocked)
     pwag_on_mail(a, pwclock_ms());
   HASH_ITER(hh, a->jobs, h, tmp) {
     HASH_DEL(a->jobs, h);
-    if (!stuck)
+    if (!is_blocked)
       pwjob_free(h->job);
     free(h);
   }
-  return stuck;
+  return is_blocked;
 }
 
 static void free_parts(pw_agent *a) {
@@ -275,7 +280,7 @@
   }
   if (end_jobs(&a) == 0)
     pwmail_free(a.mail);
-  pwcarry_end(&a.carry); /* a thread that is stuck ends with the process */
+  pwcarry_end(&a.carry); /* a blocked thread ends with the process */
   pwkvfeed_stop(a.kvfeed);
   pwserve_stop(a.http);
   free_parts(&a);
--- a/packages/agent/pwagrun.c
+++ b/packages/agent/pwagrun.c
@@ -1,10 +1,11 @@
-/* pwagrun.c: requests at an agent: what entries ask, and what it decides. */
+/* pwagrun.c: an agent's attempts: handles the messages of entries, and admits or
+** refuses their Runs. */
 #include "pwag.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* --- what it tells others --- */
+/* --- messages to entries --- */
 
 int pwag_is_leaving(const pw_agent *a) {
   return a->carry.drain || atomic_load(&a->p->stopping);
@@ -65,19 +66,19 @@
 static const pw_pool_sum *sum_of_job(void *arg, void *job) {
   const pw_agent *a = arg;
   const pw_job *j = job;
-  static const pw_pool_sum alone = {.targets = 1}; /* the pool was taken away */
+  static const pw_pool_sum alone = {.targets = 1}; /* the pool was removed */
   const pw_pool_sum *sum = pwcarry_pool(&a->carry, j->run->pool);
   return sum ? sum : &alone;
 }
 
-pw_held *pwag_held(pw_agent *a, const char *attempt) {
-  pw_held *h;
+pw_ag_job *pwag_job(pw_agent *a, const char *attempt) {
+  pw_ag_job *h;
   HASH_FIND_STR(a->jobs, attempt, h);
   return h;
 }
 
-static pw_held *hold(pw_agent *a, pw_job *j, int64_t now) {
-  pw_held *h = pw_alloc(sizeof *h);
+static pw_ag_job *add_job(pw_agent *a, pw_job *j, int64_t now) {
+  pw_ag_job *h = pw_alloc(sizeof *h);
   pw_copy(h->attempt, sizeof h->attempt, j->run->attempt);
   h->job = j;
   h->heard = now;
@@ -86,7 +87,7 @@
   return h;
 }
 
-void pwag_let_go(pw_agent *a, pw_held *h) {
+void pwag_release(pw_agent *a, pw_ag_job *h) {
   HASH_DEL(a->jobs, h);
   pwjob_free(h->job);
   free(h);
@@ -107,15 +108,15 @@
 }
 
 void pwag_refuse_queued(pw_agent *a, pw_job *j, pw_code code, int64_t now) {
-  pw_held *h = pwag_held(a, j->run->attempt);
+  pw_ag_job *h = pwag_job(a, j->run->attempt);
   uint32_t wait = pwadmit_wait(&a->admit, j->run->workspace, j->run->weight,
                                j->run->priority);
   pwag_refuse(a, &j->peer, j->run, &(pw_ag_refusal){.code = code, .wait = wait},
               now);
-  pwag_let_go(a, h);
+  pwag_release(a, h);
 }
 
-/* --- a Run arrives --- */
+/* --- Run --- */
 
 static int is_known(const pw_agent *a, const char *attempt) {
   pw_seen *s;
@@ -123,7 +124,8 @@
   return s != NULL;
 }
 
-static int was_seen(pw_agent *a, const char *attempt) {
+/* Whether the attempt was received before; remembers it if not. */
+static int is_duplicate(pw_agent *a, const char *attempt) {
   if (is_known(a, attempt))
     return 1;
   pw_seen *s = pw_alloc(sizeof *s);
@@ -151,9 +153,10 @@
   return PW_OK;
 }
 
-/* Cost in tokens: what of the prompt is neither cached nor taken over from
-** another engine, and the output. */
-static void reckon(pw_agent *a, pw_job *j, double *recompute, int64_t now) {
+/* Estimates the cost in tokens: the output, and the part of the prompt that is
+** neither cached nor taken over from another engine. */
+static void estimate_cost(pw_agent *a, pw_job *j, double *recompute,
+                          int64_t now) {
   const Pw__Run *run = j->run;
   uint32_t cached =
       run->service ? 0 : pwcache_expect(&a->cache, run->chat, now);
@@ -171,6 +174,8 @@
   *recompute = cached * share;
 }
 
+/* Refuses a Run that needs a cached prefix which is not here. Returns whether it
+** did. */
 static int lacks_prefix(pw_agent *a, const Pw__Run *run, const pw_peer *from,
                         int64_t now) {
   char where[PW_NAME_MAX] = "";
@@ -182,10 +187,10 @@
   return 1;
 }
 
-/* A resumed stream takes over from its earlier attempt, with no new place in
-** the queue: its tokens are in progress at the engine already. */
+/* Starts an attempt that resumes a stream, in place of the earlier attempt. It
+** bypasses the queue, since its tokens are in progress at the engine already. */
 static void resume(pw_agent *a, pw_job *j, int64_t now) {
-  pw_held *h, *tmp;
+  pw_ag_job *h, *tmp;
   pwunheard_forget(a->unheard, j->origin);
   HASH_ITER(hh, a->jobs, h, tmp) {
     if (!strcmp(h->job->origin, j->origin) && h->job != j) {
@@ -195,14 +200,15 @@
   }
   pwload_add(&a->admit.load, j->cost, now);
   a->admit.running++;
-  hold(a, j, now);
+  add_job(a, j, now);
   run_now(a, j, now);
 }
 
-static void decide(pw_agent *a, pw_job *j, int64_t now) {
+/* Starts, queues or refuses a job. */
+static void admit_job(pw_agent *a, pw_job *j, int64_t now) {
   const Pw__Run *run = j->run;
   double recompute;
-  reckon(a, j, &recompute, now);
+  estimate_cost(a, j, &recompute, now);
   j->since = now;
   j->deadline = now + run->deadline;
   if (j->deadline > run->start_by)
@@ -233,7 +239,7 @@
     pwjob_free(j);
     return;
   }
-  hold(a, j, now);
+  add_job(a, j, now);
   if (ans.verdict == PW_ADMIT_START)
     run_now(a, j, now);
   else
@@ -242,11 +248,11 @@
     pwag_refuse_queued(a, ans.pushed_out, PW_E_BUSY, now);
 }
 
-/* Takes the Run out of the envelope when it becomes a job. */
+/* Handles a Run. One that becomes a job is taken out of the envelope. */
 static void on_run(pw_agent *a, const pw_peer *from, Pw__Envelope *e,
                    int64_t now) {
   Pw__Run *run = e->run;
-  if (was_seen(a, run->attempt)) {
+  if (is_duplicate(a, run->attempt)) {
     pwcount_add(a->p->counters, PWC_DUPLICATES, 1);
     return;
   }
@@ -259,18 +265,18 @@
     return;
   e->run = NULL;
   e->body_case = PW__ENVELOPE__BODY__NOT_SET;
-  decide(a, pwjob_new(run, from), now);
+  admit_job(a, pwjob_new(run, from), now);
 }
 
-/* --- other words from entries --- */
+/* --- other messages from entries --- */
 
-void pwag_cancel(pw_agent *a, pw_held *h, int64_t now) {
+void pwag_cancel(pw_agent *a, pw_ag_job *h, int64_t now) {
   pw_job *j = h->job;
   if (!j->started) {
     if (pwqueue_remove(a->admit.queue, j)) {
       pwag_refuse(a, &j->peer, j->run, &(pw_ag_refusal){.code = PW_E_GONE},
                   now);
-      pwag_let_go(a, h);
+      pwag_release(a, h);
     }
     return;
   }
@@ -291,18 +297,18 @@
   pw_peer from;
   Pw__Envelope *e;
   while ((e = pwwire_recv(a->listener, &from)) != NULL) {
-    pw_held *h = NULL;
+    pw_ag_job *h = NULL;
     switch (e->body_case) {
     case PW__ENVELOPE__BODY_RUN:
       on_run(a, &from, e, now);
       break;
     case PW__ENVELOPE__BODY_CREDIT:
-      h = pwag_held(a, e->credit->attempt);
+      h = pwag_job(a, e->credit->attempt);
       if (h)
         pwjob_credit(h->job, e->credit->offset);
       break;
     case PW__ENVELOPE__BODY_CANCEL:
-      h = pwag_held(a, e->cancel->attempt);
+      h = pwag_job(a, e->cancel->attempt);
       if (h)
         pwag_cancel(a, h, now);
       break;
@@ -311,7 +317,7 @@
       break;
     case PW__ENVELOPE__BODY_PING:
       send_pong(a, &from, now);
-      for (pw_held *x = a->jobs; x; x = x->hh.next)
+      for (pw_ag_job *x = a->jobs; x; x = x->hh.next)
         if (pwwire_same(&x->job->peer, &from))
           x->heard = now;
       break;
--- a/packages/agent/pwagwork.c
+++ b/packages/agent/pwagwork.c
@@ -1,14 +1,14 @@
-/* pwagwork.c: requests at an agent: what the workers that run them tell. */
+/* pwagwork.c: an agent's attempts: handles the notes of the workers that run
+** them. */
 #include "pwag.h"
 #include "pwlog.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* --- words from the workers --- */
-
-/* The entry cannot be reached: stops reading, and lets the stream rest. */
-static void abandon(pw_agent *a, pw_held *h, int64_t now) {
+/* Handles an entry that cannot be reached: stops reading, and leaves the stream
+** at the engine so that it can be resumed. */
+static void detach(pw_agent *a, pw_ag_job *h, int64_t now) {
   pw_job *j = h->job;
   if (j->run->never || j->run->service || h->cancelled) {
     pwag_cancel(a, h, now);
@@ -19,20 +19,21 @@
   pwunheard_put(a->unheard, j->origin, now);
 }
 
-void pwag_expire_unheard(pw_agent *a, int64_t now) {
+void pwag_expire_detached(pw_agent *a, int64_t now) {
   char origin[PW_NAME_MAX];
   while (pwunheard_expired(a->unheard, now, origin))
     pwjob_cancel_at_target(a->workers, origin);
 }
 
-static void send_or_abandon(pw_agent *a, pw_held *h, Pw__Envelope *e,
-                            int64_t now) {
+static void send_or_detach(pw_agent *a, pw_ag_job *h, Pw__Envelope *e,
+                           int64_t now) {
   if (pwwire_send(a->listener, &h->job->peer, e) != 0)
-    abandon(a, h, now);
+    detach(a, h, now);
 }
 
-/* What the answer's head says about the price of prompts. */
-static void learn_prices(pw_agent *a, const pw_job *j, int64_t now) {
+/* Updates the estimated costs of computing and moving prefixes from the time that
+** the answer's head took. */
+static void update_costs(pw_agent *a, const pw_job *j, int64_t now) {
   double ms = (double)(now - j->since);
   uint32_t computed = j->prompt > j->cached ? j->prompt - j->cached : 0;
   if (!j->import) {
@@ -45,7 +46,7 @@
   pwcount_add(a->p->counters, PWC_KV_MOVED, j->cached);
 }
 
-static void on_head(pw_agent *a, pw_held *h, pw_job_note *n, int64_t now) {
+static void on_head(pw_agent *a, pw_ag_job *h, pw_job_note *n, int64_t now) {
   pw_job *j = h->job;
   for (size_t i = 0; i < n->nheader; i++) {
     if (!strcmp(n->header[i]->name, "X-Cached-Tokens"))
@@ -60,7 +61,7 @@
   }
   if (n->status == 200 && !j->run->service && j->run->chat[0]) {
     uint32_t tokens = j->prompt ? j->prompt : j->run->prompt_tokens;
-    learn_prices(a, j, now);
+    update_costs(a, j, now);
     if (j->cached < j->expected / 2)
       pwcount_add(a->p->counters, PWC_CACHE_WRONG, 1);
     pwcache_seen(&a->cache, j->run->chat, tokens, j->cached, j->expected, now);
@@ -75,10 +76,10 @@
   head.n_headers = n->nheader;
   head.load = &load;
   Pw__Envelope e = PW_ENVELOPE(HEAD, head, &head);
-  send_or_abandon(a, h, &e, now);
+  send_or_detach(a, h, &e, now);
 }
 
-/* Tokens in a piece of a stream: one an event. */
+/* Counts the tokens in a piece of a stream, one for each event. */
 static uint32_t count_tokens(const pw_job_note *n) {
   uint32_t count = 0;
   for (size_t i = 0; i + 5 <= n->len; i++)
@@ -86,7 +87,7 @@
   return count;
 }
 
-static void on_data(pw_agent *a, pw_held *h, const pw_job_note *n,
+static void on_data(pw_agent *a, pw_ag_job *h, const pw_job_note *n,
                     int64_t now) {
   pw_job *j = h->job;
   if (j->run->stream) {
@@ -105,12 +106,12 @@
   c.data.data = (uint8_t *)n->data;
   c.data.len = n->len;
   Pw__Envelope e = PW_ENVELOPE(CHUNK, chunk, &c);
-  send_or_abandon(a, h, &e, now);
+  send_or_detach(a, h, &e, now);
 }
 
-/* The target turned a request away: it is left alone for as long as it asks for, and entries prefer
-** others meanwhile. */
-static void note_refusal(pw_agent *a, const pw_job_note *n, int64_t now) {
+/* Notes that the target has rejected a request although it had room, and starts the hold-off that the
+** target asks for. Entries prefer other targets meanwhile. */
+static void note_rejection(pw_agent *a, const pw_job_note *n, int64_t now) {
   if (n->not_run && pwreject_had_room(a->admit.running, a->admit.slots))
     pwreject_note(&a->rejects, now);
   if (n->hold_off_ms == 0 ||
@@ -121,17 +122,19 @@
         a->p->set->agent_target, (long long)n->hold_off_ms);
 }
 
-/* Whether the attempt is known not to have run, nor the one that it went on with. */
-static int is_proof(const pw_job *j, const pw_job_note *n) {
-  int unreached = n->code == PW_E_CONNECT && !n->sent;
-  return (unreached || n->not_run) && !j->run->resume_of[0];
+/* Whether it is proved that the attempt did not run. A resuming attempt proves nothing, since the stream that
+** it resumes has run. */
+static int has_proof(const pw_job *j, const pw_job_note *n) {
+  int is_unreached = n->code == PW_E_CONNECT && !n->sent;
+  return (is_unreached || n->not_run) && !j->run->resume_of[0];
 }
 
-static void on_end(pw_agent *a, pw_held *h, const pw_job_note *n, int64_t now) {
+static void on_end(pw_agent *a, pw_ag_job *h, const pw_job_note *n,
+                   int64_t now) {
   pw_job *j = h->job;
   pwadmit_end(&a->admit, j->left, now);
-  note_refusal(a, n, now);
-  if (is_proof(j, n)) {
+  note_rejection(a, n, now);
+  if (has_proof(j, n)) {
     uint32_t wait = (uint32_t)pwholdoff_left(&a->admit.hold_off, now);
     pwag_refuse(a, &j->peer, j->run,
                 &(pw_ag_refusal){.code = n->code, .wait = wait}, now);
@@ -151,15 +154,15 @@
     pwwire_send(a->listener, &j->peer, &e);
   }
   if (n->code == PW_E_CONNECT)
-    pwcache_restarted(&a->cache); /* a target that went away forgot it all */
-  pwag_let_go(a, h);
+    pwcache_restarted(&a->cache); /* its cache may be lost */
+  pwag_release(a, h);
 }
 
 void pwag_on_mail(pw_agent *a, int64_t now) {
   pwmail_clear(a->mail);
   pw_job_note *n;
   while ((n = (pw_job_note *)pwmail_take(a->mail)) != NULL) {
-    pw_held *h = pwag_held(a, n->job->run->attempt);
+    pw_ag_job *h = pwag_job(a, n->job->run->attempt);
     if (n->event == PW_JOB_HEAD && !h->cancelled)
       on_head(a, h, n, now);
     else if (n->event == PW_JOB_DATA)
--- a/packages/agent/pwcarry.c
+++ b/packages/agent/pwcarry.c
@@ -1,4 +1,4 @@
-/* pwcarry.c: what an agent's target is to carry. */
+/* pwcarry.c: the desired state of an agent's target. */
 #include "pwcarry.h"
 
 #include "pwbuf.h"
@@ -31,7 +31,7 @@
   return !strncmp(pool, model, n) && (!pool[n] || pool[n] == '@');
 }
 
-/* Pools as they are read, with the sums that were known. */
+/* The pools being read, and the earlier ones with their load sums. */
 typedef struct reading {
   const pw_carry *before;
   pw_carry *c;
@@ -76,7 +76,7 @@
   return changed;
 }
 
-/* The sums are as old as the Hello they answer. */
+/* The sums are dated back to the Hello that they answer. */
 void pwcarry_sums(pw_carry *c, const Pw__Welcome *w) {
   for (size_t i = 0; i < w->n_pools; i++) {
     pw_carry_pool *p = find(c, w->pools[i]->pool);
@@ -107,12 +107,12 @@
 }
 
 int pwcarry_has_news(pw_carry *c) {
-  return pworder_changes(c->order) != c->told;
+  return pworder_changes(c->order) != c->state_taken;
 }
 
 void pwcarry_state(pw_carry *c, Pw__TargetState *out) {
   pw__target_state__init(out);
   out->target = c->p->set->agent_target;
-  c->told = pworder_changes(c->order);
+  c->state_taken = pworder_changes(c->order);
   pworder_state(c->order, out);
 }
--- a/packages/agent/pwcarry.h
+++ b/packages/agent/pwcarry.h
@@ -1,4 +1,4 @@
-/* pwcarry.h: what an agent's target is to carry: its resource, its assignment,
+/* pwcarry.h: the desired state of an agent's target: its resource, its assignment,
 ** the pools it is in. */
 #ifndef PWCARRY_H
 #define PWCARRY_H
@@ -12,7 +12,7 @@
 
 typedef struct pw_carry_pool {
   char name[PWASSIGN_POOL];
-  pw_pool_sum sum; /* as the parent last told it */
+  pw_pool_sum sum; /* load of the pool, as the parent last reported it */
 } pw_carry_pool;
 
 typedef struct pw_carry {
@@ -23,36 +23,36 @@
   int npools;
   int known; /* the target's resource exists */
   int drain;
-  uint64_t told; /* pworder_changes when the state was last told */
+  uint64_t state_taken; /* pworder_changes when the state was last taken */
 } pw_carry;
 
 void pwcarry_init(pw_carry *c, pw_proc *p);
 
-/* -1 when a thread still waits for the target. */
+/* Stops the order thread. Returns -1 when it still waits for the target. */
 int pwcarry_end(pw_carry *c);
 
-/* The resources changed. Gives 1 when the target is in other pools than before,
-** and was known before. */
+/* Reads the changed resources. Returns 1 when the target was known before and has
+** moved to other pools. */
 int pwcarry_update(pw_carry *c, const pw_res *r);
 
-/* The parent told the sums of pools, in answer to a Hello. */
+/* Takes in the load sums of pools from the parent's answer to a Hello. */
 void pwcarry_sums(pw_carry *c, const Pw__Welcome *w);
 
-/* Sum of a pool that the target is in, or NULL. */
+/* Load sum of a pool that the target is in, or NULL. */
 const pw_pool_sum *pwcarry_pool(const pw_carry *c, const char *name);
 
-/* Whether a pool is one of a model. */
+/* Whether the pool serves a version of the model. */
 int pwcarry_is_of(const char *pool, const char *model);
 
-/* Has the assignment carried out, until our time `until` at the latest.
-** is_busy tells whether requests for a model are in progress. */
+/* Has the assignment applied; orders are sent until our time `until` at the
+** latest. is_busy returns whether requests for a model are in progress. */
 void pwcarry_act(pw_carry *c, int (*is_busy)(void *arg, const char *model),
                  void *arg, int64_t until);
 
-/* Whether the target's state has changed since it was last taken. */
+/* Whether the state has changed since the last pwcarry_state. */
 int pwcarry_has_news(pw_carry *c);
 
-/* Takes the target's state; freed with pworder_state_clear. */
+/* Fills in the target's state; pworder_state_clear frees it. */
 void pwcarry_state(pw_carry *c, Pw__TargetState *out);
 
 #endif
--- a/packages/agent/pwjob.c
+++ b/packages/agent/pwjob.c
@@ -10,11 +10,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TAIL 64 /* bytes in which a whole stream's end mark lies */
+#define TAIL 64 /* last bytes of a stream, which hold its end mark */
 #define STACK_BYTES (256 * 1024)
 #define HEADERS_MAX 72
 #define CHAT_HEADERS 7
-#define END_MS 1000 /* for cancelled jobs to end */
+#define END_MS 1000 /* time that cancelled jobs have to end */
 #define CANCEL_TIMEOUT_S 2
 #define CANCEL_MAX 4096
 #define HTTP_TOO_MANY 429
@@ -28,7 +28,7 @@
   pthread_cond_t more;
   pw_job *first, *last;
   int ending;
-  int busy; /* threads at a job */
+  int busy; /* threads that run a job */
   pthread_t *thread;
   int n;
 };
@@ -38,11 +38,11 @@
   pw_workers *w;
   pw_job *job;
   int status;
-  int refused;         /* a server error: nothing of it is passed on ... */
-  int not_run;         /* ... it has not run, by the target's own word */
-  int64_t hold_off_ms; /* the target asks to be left alone; 0: it does not */
+  int refused;         /* a server error, of which nothing is forwarded */
+  int not_run;         /* the target states that the request was not run */
+  int64_t hold_off_ms; /* hold-off that the target asks for; 0: none */
   uint64_t offset;
-  char tail[TAIL + 1];
+  char tail[TAIL + 1]; /* last bytes received */
 } reading;
 
 pw_job *pwjob_new(Pw__Run *run, const pw_peer *peer) {
@@ -57,7 +57,7 @@
   if (peer)
     j->peer = *peer;
   pthread_mutex_init(&j->lock, NULL);
-  pthread_cond_init(&j->moved, NULL);
+  pthread_cond_init(&j->changed, NULL);
   return j;
 }
 
@@ -65,7 +65,7 @@
   if (j->run)
     pw__run__free_unpacked(j->run, NULL);
   pthread_mutex_destroy(&j->lock);
-  pthread_cond_destroy(&j->moved);
+  pthread_cond_destroy(&j->changed);
   free(j);
 }
 
@@ -83,7 +83,7 @@
   return n;
 }
 
-static void take_header(pw_job_note *n, const pw_fetch_head *h,
+static void copy_header(pw_job_note *n, const pw_fetch_head *h,
                         const char *name) {
   const char *value = pwfetch_answer_header(h, name);
   if (!value)
@@ -95,7 +95,7 @@
   n->header[n->nheader++] = p;
 }
 
-/* An answer that turns the request away: whether it has run, and when the next may come. */
+/* Reads from a rejection whether the request was not run, and the hold-off asked for. */
 static void read_refusal(reading *r, const pw_fetch_head *h) {
   const char *after = pwfetch_answer_header(h, "Retry-After");
   r->not_run = pwfetch_answer_header(h, "X-Not-Run") != NULL;
@@ -113,9 +113,9 @@
   }
   pw_job_note *n = new_note(r->job, PW_JOB_HEAD);
   n->status = status;
-  take_header(n, h, "Content-Type");
-  take_header(n, h, "X-Cached-Tokens");
-  take_header(n, h, "X-Prompt-Tokens");
+  copy_header(n, h, "Content-Type");
+  copy_header(n, h, "X-Cached-Tokens");
+  copy_header(n, h, "X-Prompt-Tokens");
   pwmail_post(r->w->mail, &n->item);
   return 0;
 }
@@ -132,11 +132,11 @@
   r->tail[have - drop + n] = 0;
 }
 
-/* Waits until the window has room. 0: go on; -1: cancelled. */
+/* Waits until the flow control window has room. Returns -1 when cancelled. */
 static int wait_for_room(pw_job *j) {
   pthread_mutex_lock(&j->lock);
   while (!j->cancelled && !j->orphan && j->sent - j->acked >= PW_WINDOW)
-    pthread_cond_wait(&j->moved, &j->lock);
+    pthread_cond_wait(&j->changed, &j->lock);
   int rc = j->cancelled ? -1 : 0;
   pthread_mutex_unlock(&j->lock);
   return rc;
@@ -159,7 +159,7 @@
   return 0;
 }
 
-/* Headers for the engine: its published protocol, see docs/ENGINE.md. */
+/* Headers for an engine, as docs/ENGINE.md defines them. */
 static int chat_headers(const pw_job *j, pw_fetch_header *h, char *offset,
                         size_t cap, char *priority) {
   int n = 0;
@@ -338,14 +338,14 @@
   pthread_mutex_lock(&j->lock);
   if (offset > j->acked && offset <= j->sent)
     j->acked = offset;
-  pthread_cond_signal(&j->moved);
+  pthread_cond_signal(&j->changed);
   pthread_mutex_unlock(&j->lock);
 }
 
 static void set_flag(pw_job *j, int *flag) {
   pthread_mutex_lock(&j->lock);
   *flag = 1;
-  pthread_cond_signal(&j->moved);
+  pthread_cond_signal(&j->changed);
   pthread_mutex_unlock(&j->lock);
 }
 
--- a/packages/agent/pwkvfeed.c
+++ b/packages/agent/pwkvfeed.c
@@ -1,4 +1,4 @@
-/* pwkvfeed.c: hears the target's cache events. */
+/* pwkvfeed.c: fetches the target's cache events. */
 #include "pwkvfeed.h"
 
 #include "pwbuf.h"
@@ -12,21 +12,21 @@
 #include <string.h>
 
 #define TIMEOUT_S 5
-#define ANSWER_MAX (16UL * 1024 * 1024) /* bytes: a picture of 65,536 chats */
-#define RETRY_MS 2000                   /* after an answer that was none */
-#define NOT_SPOKEN_MS 60000 /* an engine without events is asked again */
+#define ANSWER_MAX (16UL * 1024 * 1024) /* bytes: a snapshot of 65,536 chats */
+#define RETRY_MS 2000                   /* after a failed request */
+#define UNSUPPORTED_MS 60000 /* after a 404: the engine publishes no events */
 #define STOP_MS 1000
 
 struct pw_kvfeed {
   char *url;
   int64_t every;
   pw_thread thread;
-  /* Under the thread's lock: */
-  pw_cache_news news;
-  int has_news; /* not taken yet, or its taker did not say how to go on */
-  int is_taken;
-  uint64_t seen;
-  int picture;
+  /* Protected by the thread's lock: */
+  pw_cache_news update;
+  int has_update; /* `update` is not taken yet, or polling was not resumed since */
+  int is_taken;  /* `update` was taken */
+  uint64_t seen; /* number of the newest event known */
+  int snapshot;  /* the next request is for a snapshot */
 };
 
 static void read_event(const json_t *one, int64_t asked, pw_cache_news *out) {
@@ -66,15 +66,15 @@
   return 0;
 }
 
-/* One question to the target: PW_OK with news, or why not. */
-static pw_code ask(const pw_kvfeed *f, uint64_t seen, int picture,
-                   pw_cache_news *out) {
+/* Fetches the events after `seen`, or a snapshot. */
+static pw_code fetch_events(const pw_kvfeed *f, uint64_t seen, int snapshot,
+                            pw_cache_news *out) {
   char path[96];
   pw_buf text = {0};
   int status = 0;
   int64_t asked = pwclock_ms();
   snprintf(path, sizeof path, "/v1/cache/events?after=%llu&all=%d",
-           (unsigned long long)seen, picture);
+           (unsigned long long)seen, snapshot);
   pw_code rc = pwfetch_text(f->url, "GET", path, NULL, 0, NULL, TIMEOUT_S,
                             ANSWER_MAX, &status, &text);
   if (rc == PW_OK && status != 200)
@@ -89,19 +89,19 @@
 static int64_t work(void *arg) {
   pw_kvfeed *f = arg;
   pthread_mutex_lock(&f->thread.lock);
-  int waits = f->has_news;
+  int is_suspended = f->has_update;
   uint64_t seen = f->seen;
-  int picture = f->picture;
+  int snapshot = f->snapshot;
   pthread_mutex_unlock(&f->thread.lock);
-  if (waits)
+  if (is_suspended)
     return f->every;
-  pw_cache_news news;
-  pw_code rc = ask(f, seen, picture, &news);
+  pw_cache_news update;
+  pw_code rc = fetch_events(f, seen, snapshot, &update);
   if (rc != PW_OK)
-    return rc == PW_E_PATH ? NOT_SPOKEN_MS : RETRY_MS;
+    return rc == PW_E_PATH ? UNSUPPORTED_MS : RETRY_MS;
   pthread_mutex_lock(&f->thread.lock);
-  f->news = news;
-  f->has_news = 1;
+  f->update = update;
+  f->has_update = 1;
   f->is_taken = 0;
   pthread_mutex_unlock(&f->thread.lock);
   return f->every;
@@ -111,7 +111,7 @@
   pw_kvfeed *f = pw_alloc(sizeof *f);
   f->url = pw_dup(url);
   f->every = every_ms;
-  f->picture = 1;
+  f->snapshot = 1;
   if (every_ms)
     pwthread_start(&f->thread, work, f, 0);
   return f;
@@ -120,8 +120,8 @@
 int pwkvfeed_stop(pw_kvfeed *f) {
   if (f->every && pwthread_stop(&f->thread, STOP_MS) != 0)
     return -1;
-  if (f->has_news && !f->is_taken)
-    pwkvfeed_clear(&f->news);
+  if (f->has_update && !f->is_taken)
+    pwkvfeed_clear(&f->update);
   free(f->url);
   free(f);
   return 0;
@@ -131,26 +131,26 @@
   if (!f->every)
     return 0;
   pthread_mutex_lock(&f->thread.lock);
-  int has = f->has_news && !f->is_taken;
+  int has = f->has_update && !f->is_taken;
   if (has) {
-    *out = f->news;
+    *out = f->update;
     f->is_taken = 1;
   }
   pthread_mutex_unlock(&f->thread.lock);
   return has;
 }
 
-void pwkvfeed_clear(pw_cache_news *news) {
-  free(news->event);
-  *news = (pw_cache_news){0};
+void pwkvfeed_clear(pw_cache_news *update) {
+  free(update->event);
+  *update = (pw_cache_news){0};
 }
 
-void pwkvfeed_go_on(pw_kvfeed *f, uint64_t seen, int picture) {
+void pwkvfeed_go_on(pw_kvfeed *f, uint64_t seen, int snapshot) {
   pthread_mutex_lock(&f->thread.lock);
-  int at_once = picture && !f->picture; /* else as often as always */
+  int at_once = snapshot && !f->snapshot; /* else at the usual interval */
   f->seen = seen;
-  f->picture = picture;
-  f->has_news = 0;
+  f->snapshot = snapshot;
+  f->has_update = 0;
   if (at_once)
     pwthread_wake(&f->thread);
   pthread_mutex_unlock(&f->thread.lock);
--- a/packages/agent/pworder.c
+++ b/packages/agent/pworder.c
@@ -1,4 +1,4 @@
-/* pworder.c: carries out the assignment at the target. */
+/* pworder.c: applies the assignment at the target. */
 #include "pworder.h"
 
 #include "pwbuf.h"
@@ -11,25 +11,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define POLL_MS 200       /* while an order is under way */
-#define REST_MS 2000      /* else: has the target lost something? */
-#define TIMEOUT_S 5       /* for one call */
-#define ANSWER_MAX 262144 /* bytes */
+#define POLL_MS 200       /* interval while an order is in progress */
+#define IDLE_MS 2000      /* else: detects models that the target has lost */
+#define TIMEOUT_S 5       /* of one HTTP request */
+#define ANSWER_MAX 262144 /* bytes of an answer */
 #define STOP_MS 1000
 
-/* What became of the order for one model. */
-typedef struct done {
+/* Status of the order for one model. */
+typedef struct order_status {
   char model[PW_NAME_MAX];
   char version[PW_NAME_MAX];
   uint64_t attempt;
-  int given; /* the order of this attempt went out */
-  int loaded;
-  int under_way; /* the target says that it is loading */
-  pw_code code;
-} done;
-
-/* Whether nothing more will come of the order by itself. */
-static int is_over(const done *d) {
+  int sent;     /* the order of this attempt was sent */
+  int loaded;   /* the target reports the version as loaded */
+  int loading;  /* the target has accepted the order or reports loading */
+  pw_code code; /* why the order failed, or PW_OK */
+} order_status;
+
+/* Whether the order has succeeded or failed. */
+static int has_ended(const order_status *d) {
   return d->loaded || d->code != PW_OK;
 }
 
@@ -37,18 +37,18 @@
   pw_proc *p;
   char *url;
   pw_thread thread;
-  done done[PWASSIGN_MODELS]; /* the thread's own */
-  int ndone;
+  order_status status[PWASSIGN_MODELS]; /* used by the thread alone */
+  int nstatus;
 
-  /* Under the thread's lock: */
+  /* Protected by the thread's lock: */
   pw_order_want want;
-  int64_t until;
-  done shown[PWASSIGN_MODELS];
-  int nshown;
+  int64_t until;                           /* no order is sent from then on */
+  order_status published[PWASSIGN_MODELS]; /* copy of `status` */
+  int npublished;
   uint64_t changes;
 };
 
-/* --- the target's protocol: docs/ENGINE.md --- */
+/* --- the target's protocol (docs/ENGINE.md) --- */
 
 static pw_code call(pw_order *o, const char *method, const char *path,
                     const pw_fetch_header *h, int nh, const char *body,
@@ -75,7 +75,8 @@
                    m->load, "adapters", adapters);
 }
 
-/* Sends an order if it may still be sent. */
+/* Sends an order unless the permission has expired or the desired state has
+** changed. */
 static pw_code send_order(pw_order *o, const pw_order_want *w, json_t *order) {
   char term[24], sequence[24];
   snprintf(term, sizeof term, "%llu", (unsigned long long)w->term);
@@ -86,11 +87,11 @@
   char *body = json_dumps(order, JSON_COMPACT);
   json_t *answer = NULL;
   pthread_mutex_lock(&o->thread.lock);
-  int may = pwclock_ms() < o->until && o->want.sequence == w->sequence;
+  int is_allowed = pwclock_ms() < o->until && o->want.sequence == w->sequence;
   pthread_mutex_unlock(&o->thread.lock);
-  pw_code rc =
-      may ? call(o, "POST", "/v1/orders", h, 3, body, &answer) : PW_E_NOT_READY;
-  pwcount_add(o->p->counters, PWC_ORDERS, may);
+  pw_code rc = is_allowed ? call(o, "POST", "/v1/orders", h, 3, body, &answer)
+                          : PW_E_NOT_READY;
+  pwcount_add(o->p->counters, PWC_ORDERS, is_allowed);
   pwevent_add(o->p->events, PWE_ORDER, rc, NULL, NULL, o->p->set->agent_target,
               "%s %s %s seq=%s", pwjson_text(order, "op"),
               pwjson_text(order, "model"), pwjson_text(order, "version"),
@@ -103,19 +104,19 @@
 
 /* --- one model --- */
 
-static done *done_of(pw_order *o, const char *model) {
-  for (int i = 0; i < o->ndone; i++)
-    if (!strcmp(o->done[i].model, model))
-      return &o->done[i];
-  if (o->ndone == PWASSIGN_MODELS)
+static order_status *status_of(pw_order *o, const char *model) {
+  for (int i = 0; i < o->nstatus; i++)
+    if (!strcmp(o->status[i].model, model))
+      return &o->status[i];
+  if (o->nstatus == PWASSIGN_MODELS)
     return NULL;
-  done *d = &o->done[o->ndone++];
-  *d = (done){0};
+  order_status *d = &o->status[o->nstatus++];
+  *d = (order_status){0};
   pw_copy(d->model, sizeof d->model, model);
   return d;
 }
 
-static const json_t *listed(const json_t *models, const char *model) {
+static const json_t *find_model(const json_t *models, const char *model) {
   size_t i;
   const json_t *m;
   json_array_foreach(models, i, m) {
@@ -145,51 +146,52 @@
   return m && !strcmp(pwjson_text(m, "version"), version);
 }
 
-/* What the target says about the version that is wanted. */
-static void look(done *d, const json_t *m, const pw_assigned *want) {
-  int same = has_version(m, want->load);
-  d->loaded = same && !strcmp(pwjson_text(m, "state"), "loaded");
-  d->under_way = same && !strcmp(pwjson_text(m, "state"), "loading");
-  if (d->loaded || d->under_way)
+/* Updates the status from the target's report on the model. */
+static void update_status(order_status *d, const json_t *m,
+                          const pw_assigned *want) {
+  int is_wanted = has_version(m, want->load);
+  d->loaded = is_wanted && !strcmp(pwjson_text(m, "state"), "loaded");
+  d->loading = is_wanted && !strcmp(pwjson_text(m, "state"), "loading");
+  if (d->loaded || d->loading)
     d->code = PW_OK;
-  else if (d->given && d->code == PW_OK)
-    d->code = PW_E_ORDER; /* it was taken, and came to nothing */
+  else if (d->sent && d->code == PW_OK)
+    d->code = PW_E_ORDER; /* accepted, but neither loading nor loaded */
 }
 
-/* Gives the order for one model if it was not given yet. A version is exchanged
-** only when nothing runs on the one before. */
-static void tend(pw_order *o, const pw_order_want *w, const pw_order_item *it,
-                 const json_t *models) {
+/* Sends the order for one model if it was not sent yet. A version is exchanged
+** only when no request is in progress on the previous one. */
+static void apply_model(pw_order *o, const pw_order_want *w,
+                        const pw_order_item *it, const json_t *models) {
   const pw_assigned *want = &it->want;
-  done *d = done_of(o, want->model);
+  order_status *d = status_of(o, want->model);
   if (!d)
     return;
   if (d->attempt != want->attempt || strcmp(d->version, want->load) != 0) {
     d->attempt = want->attempt;
-    d->given = 0;
+    d->sent = 0;
     d->code = PW_OK;
     pw_copy(d->version, sizeof d->version, want->load);
   }
-  const json_t *m = listed(models, want->model);
-  look(d, m, want);
+  const json_t *m = find_model(models, want->model);
+  update_status(d, m, want);
   int complete = d->loaded && has_adapters(m, want);
-  if (complete || d->under_way || d->given)
+  if (complete || d->loading || d->sent)
     return;
   if (!it->idle && !d->loaded)
     return;
   pw_code rc = send_order(o, w, order_json("load", want));
   if (rc == PW_E_NOT_READY)
     return;
-  d->given = 1;
-  d->under_way = rc == PW_OK && !d->loaded;
+  d->sent = 1;
+  d->loading = rc == PW_OK && !d->loaded;
   d->code = rc;
 }
 
-/* Models that the target has and should not. */
+/* Orders the target to retire models that it should no longer have. */
 static void retire(pw_order *o, const pw_order_want *w, const json_t *models) {
   for (int k = 0; k < w->n; k++) {
     const pw_order_item *it = &w->item[k];
-    if (!it->want.has_load && it->idle && listed(models, it->want.model))
+    if (!it->want.has_load && it->idle && find_model(models, it->want.model))
       send_order(o, w, order_json("retire", &it->want));
   }
 }
@@ -200,27 +202,30 @@
   send_order(o, w, json_pack("{s:s,s:s}", "op", "role", "role", w->role));
 }
 
-/* --- the thread --- */
+/* --- thread --- */
 
-static int is_under_way(const pw_order *o) {
-  for (int i = 0; i < o->nshown; i++)
-    if (!is_over(&o->shown[i]))
+static int is_in_progress(const pw_order *o) {
+  for (int i = 0; i < o->npublished; i++)
+    if (!has_ended(&o->published[i]))
       return 1;
   return 0;
 }
 
-static void show(pw_order *o) {
+/* Copies the status for the wire thread. */
+static void publish(pw_order *o) {
   pthread_mutex_lock(&o->thread.lock);
-  if (o->nshown != o->ndone || memcmp(o->shown, o->done, sizeof o->done) != 0) {
-    memcpy(o->shown, o->done, sizeof o->done);
-    o->nshown = o->ndone;
+  if (o->npublished != o->nstatus ||
+      memcmp(o->published, o->status, sizeof o->status) != 0) {
+    memcpy(o->published, o->status, sizeof o->status);
+    o->npublished = o->nstatus;
     o->changes++;
   }
   pthread_mutex_unlock(&o->thread.lock);
 }
 
-/* One round; gives whether anything is still to come. */
-static int round_of(pw_order *o) {
+/* Polls the target once and sends due orders. Returns whether an order is in
+** progress. */
+static int run_round(pw_order *o) {
   json_t *doc;
   pthread_mutex_lock(&o->thread.lock);
   pw_order_want w = o->want;
@@ -234,23 +239,23 @@
   const json_t *models = json_object_get(doc, "models");
   for (int i = 0; i < w.n; i++)
     if (w.item[i].want.has_load)
-      tend(o, &w, &w.item[i], models);
+      apply_model(o, &w, &w.item[i], models);
   retire(o, &w, models);
   set_role(o, &w, doc);
   json_decref(doc);
-  show(o);
-  return is_under_way(o);
+  publish(o);
+  return is_in_progress(o);
 }
 
 static int64_t work(void *arg) {
-  return round_of(arg) ? POLL_MS : REST_MS;
+  return run_round(arg) ? POLL_MS : IDLE_MS;
 }
 
 pw_order *pworder_start(pw_proc *p, const char *url) {
   pw_order *o = pw_alloc(sizeof *o);
   o->p = p;
   o->url = pw_dup(url);
-  pwthread_start(&o->thread, work, o, REST_MS);
+  pwthread_start(&o->thread, work, o, IDLE_MS);
   return o;
 }
 
@@ -262,15 +267,15 @@
   return 0;
 }
 
-/* --- the wire thread's side --- */
+/* --- called by the wire thread --- */
 
-/* Whether there is work that there was not before. */
+/* Whether the new desired state gives the thread work at once. */
 static int has_new_work(const pw_order *o, const pw_order_want *want) {
   if (o->want.sequence != want->sequence)
     return 1;
   for (int i = 0; i < want->n && i < o->want.n; i++)
     if (want->item[i].idle && !o->want.item[i].idle)
-      return !o->nshown || is_under_way(o);
+      return !o->npublished || is_in_progress(o);
   return 0;
 }
 
@@ -284,7 +289,7 @@
   pthread_mutex_unlock(&o->thread.lock);
 }
 
-static Pw__ModelState *model_state(const done *d) {
+static Pw__ModelState *model_state(const order_status *d) {
   Pw__ModelState *m = pw_alloc(sizeof *m);
   pw__model_state__init(m);
   m->model = pw_dup(d->model);
@@ -305,9 +310,9 @@
 void pworder_state(pw_order *o, Pw__TargetState *out) {
   pthread_mutex_lock(&o->thread.lock);
   out->models = pw_alloc(sizeof *out->models * PWASSIGN_MODELS);
-  for (int i = 0; i < o->nshown; i++)
-    if (is_over(&o->shown[i]))
-      out->models[out->n_models++] = model_state(&o->shown[i]);
+  for (int i = 0; i < o->npublished; i++)
+    if (has_ended(&o->published[i]))
+      out->models[out->n_models++] = model_state(&o->published[i]);
   pthread_mutex_unlock(&o->thread.lock);
 }
 
--- a/packages/agent/pworder.h
+++ b/packages/agent/pworder.h
@@ -1,10 +1,10 @@
-/* pworder.h: carries out the assignment at the target: a thread of its own that
-** gives the target orders and sees what became of them.
+/* pworder.h: applies the assignment at the target: a thread of its own sends the
+** target orders and polls their results.
 **
-** Each order carries (term, sequence); an order older than one given before is
-** never given, and none is given once the agent may not act any more, which is
-** looked at right before it is sent. An order is given once for each attempt:
-** what failed is told to the leader, which decides when to try again. */
+** Each order has a (term, sequence). An order older than the one sent before is
+** never sent, and no order is sent after the agent's permission has expired, which
+** is checked right before sending. An order is sent once for each attempt; a
+** failure is reported to the leader, which decides when to try again. */
 #ifndef PWORDER_H
 #define PWORDER_H
 
@@ -13,13 +13,13 @@
 
 typedef struct pw_order pw_order;
 
-/* One model that the target is to carry. */
+/* One model of the assignment. */
 typedef struct pw_order_item {
   pw_assigned want;
-  int idle; /* no request for the model is in progress: it may be exchanged */
+  int idle; /* no request is in progress: the version may be exchanged */
 } pw_order_item;
 
-/* What is wanted of the target. */
+/* The desired state of the target. */
 typedef struct pw_order_want {
   uint64_t term, sequence;
   char role[PW_NAME_MAX];
@@ -30,17 +30,18 @@
 /* Starts the thread. */
 pw_order *pworder_start(pw_proc *p, const char *url);
 
-/* Ends it; -1 when it waits for a target that says nothing. */
+/* Stops the thread and frees the object. Returns -1, and frees nothing, when the
+** thread waits for an unresponsive target. */
 int pworder_stop(pw_order *o);
 
-/* Says what is wanted, and until when (own clock, ms) orders may be given. */
+/* Sets the desired state, and until when (own clock, ms) orders may be sent. */
 void pworder_want(pw_order *o, const pw_order_want *want, int64_t until);
 
-/* Counts up whenever what follows has changed. */
+/* A counter that grows whenever the result of pworder_state changes. */
 uint64_t pworder_changes(pw_order *o);
 
-/* Fills in the orders that have come to an end, as last seen at the target; the
-** caller frees the models with pworder_state_clear. */
+/* Fills in the orders that have succeeded or failed, as last seen at the target.
+** pworder_state_clear frees the models. */
 void pworder_state(pw_order *o, Pw__TargetState *out);
 void pworder_state_clear(Pw__TargetState *s);
 
--- a/packages/agent/pwunheard.h
+++ b/packages/agent/pwunheard.h
@@ -1,5 +1,5 @@
-/* pwunheard.h: streams whose entry could not be reached. They may be resumed
-** for a while; one that nobody resumes is to be cancelled at the target. */
+/* pwunheard.h: streams whose entry could not be reached. Each may be resumed for
+** PWUNHEARD_MS and is then cancelled at the target. */
 #ifndef PWUNHEARD_H
 #define PWUNHEARD_H
 
@@ -14,13 +14,14 @@
 pw_unheard *pwunheard_new(void);
 void pwunheard_free(pw_unheard *u);
 
-/* The stream the engine knows as `origin` rests from now on. */
+/* Adds the stream that was started by attempt `origin`. */
 void pwunheard_put(pw_unheard *u, const char *origin, int64_t now);
 
-/* It is resumed, or over. */
+/* Removes a stream that is resumed. */
 void pwunheard_forget(pw_unheard *u, const char *origin);
 
-/* Takes one that has rested too long; 0 when there is none. */
+/* Removes a stream that was not resumed in time and copies its id to `origin`.
+** Returns 0 when there is none. */
 int pwunheard_expired(pw_unheard *u, int64_t now, char origin[PW_NAME_MAX]);
 
 #endif
--- a/packages/entry/pwcall.h
+++ b/packages/entry/pwcall.h
@@ -107,8 +107,8 @@
 /* HTTP thread: sends the answer if there is one, else suspends the connection. */
 void pwcall_respond(pw_call *c);
 
-/* HTTP thread: passes the request to the wire thread and suspends the connection.
-*/
+/* HTTP thread: passes the request to the wire thread and suspends the HTTP
+** connection. */
 void pwcall_begin(pw_call *c, pw_http *h);
 
 /* HTTP thread: ends the request and drops the thread's reference. */
--- a/packages/entry/pwentry.c
+++ b/packages/entry/pwentry.c
@@ -195,8 +195,8 @@
   return since < pwres_floor(r);
 }
 
-/* Applies the resources received, several revisions at once if they came together.
-*/
+/* Applies the resources received; revisions that came together are applied at
+** once. */
 static void resources_changed(entry *en, int64_t now) {
   pw_feed_state st;
   const pw_res *r = pwsub_resources(en->sub);
@@ -349,8 +349,8 @@
   pwbuf_free(&err);
 }
 
-/* Handles heartbeats and time-outs. Not called while the loop catches up after a stall, when peers only seem
-** silent. */
+/* Handles heartbeats and time-outs. It is not called while the loop catches up
+** after a stall, when peers only seem silent. */
 static void check_timeouts(entry *en, int64_t now) {
   send_hello(en, now);
   pwfeed_expire(en->feed, on_child_left, en, now);
--- a/packages/entry/pwfl.h
+++ b/packages/entry/pwfl.h
@@ -47,10 +47,8 @@
   uint64_t received;         /* answer bytes received */
   uint64_t credited;         /* answer bytes credited to the agent */
   pw_code last_code;         /* code of the last refusal */
-  uint32_t
-      retry_after; /* shortest wait that a refusal has named, ms; 0: none */
-  uint32_t refused_wait,
-      refused_worth;  /* wait and worth of the last refusal, ms */
+  uint32_t retry_after;      /* shortest wait in a refusal, ms; 0: none */
+  uint32_t refused_wait, refused_worth; /* of the last refusal, ms */
   uint32_t kv_tokens; /* cached prefix that another engine may take over ... */
   char kv_url[PWFL_URL];    /* ... from the full target at this URL */
   char origin[PW_NAME_MAX]; /* first attempt of a resumed stream, or "" */
@@ -92,10 +90,11 @@
 /* Tells the agent to cancel the current attempt. */
 void pwfl_send_cancel(pw_flights *fs, const pw_flight *f);
 
-/* Detaches the request from its target, which has one attempt in flight less. */
+/* Ends the current attempt for its target, which then counts one attempt in
+** flight less. */
 void pwfl_release(pw_flights *fs, pw_flight *f);
 
-/* Ends a request. One with a claim is record until the once-ledger has recorded
+/* Ends a request. One with a claim is kept until the once-ledger has recorded
 ** the answer (whole) or released the claim (not_run). */
 void pwfl_settle(pw_flights *fs, pw_flight *f, int whole, int not_run,
                  int64_t now);
--- a/packages/entry/pwflight.c
+++ b/packages/entry/pwflight.c
@@ -1,5 +1,5 @@
-/* pwflight.c: table of an entry's requests in flight, their start and time-outs.
- */
+/* pwflight.c: the table of an entry's requests in flight, their start, time-outs
+** and end. */
 #include "pwfl.h"
 
 #include <sodium.h>
--- a/packages/entry/pwflight.h
+++ b/packages/entry/pwflight.h
@@ -2,8 +2,8 @@
 ** Only the wire thread calls these functions.
 **
 ** A request ends as not-run only when every attempt was refused by its agent
-** before the start, or was never sent. Silence proves nothing: a request with an
-** attempt that no agent has refused or answered ends as unknown. See
+** before the start, or was never sent. Silence proves nothing: a request that fails
+** after an attempt was sent and not refused ends as unknown. See
 ** docs/PROMISES.md. */
 #ifndef PWFLIGHT_H
 #define PWFLIGHT_H
--- a/packages/entry/pwsuspicion.c
+++ b/packages/entry/pwsuspicion.c
@@ -9,7 +9,7 @@
 /* All entries see a crash within this time, and no target restarts and crashes again within it. */
 #define CRASH_SPAN_MS 2000
 
-/* Updates the counter, and logs the begin and end of a quarantine. */
+/* Updates the counter, and logs the start and end of a quarantine. */
 static void note_suspect(pw_flights *fs, uint64_t fingerprint,
                          pw_quar_news news) {
   const pw_quarantine *q = fs->quarantine;
--- a/packages/entry/pwtargets.c
+++ b/packages/entry/pwtargets.c
@@ -394,12 +394,12 @@
   Pw__Envelope e = PW_ENVELOPE(PING, ping, &ping);
   pwwire_send(t->sock, &one->peer, &e);
   if (one->pinged_at <= one->link_heard)
-    one->unanswered = now;
+    one->unanswered_since = now;
   one->pinged_at = now;
 }
 
 int64_t pwtargets_silence(const pw_target *one, int64_t now) {
-  return one->pinged_at > one->link_heard ? now - one->unanswered : 0;
+  return one->pinged_at > one->link_heard ? now - one->unanswered_since : 0;
 }
 
 int pwtargets_is_fresh(const pw_target *one, int64_t now) {
@@ -429,8 +429,8 @@
   return one->incarnation != 0 && now - one->heard > ALIVE_MS;
 }
 
-/* Whether the target has pinged_at for a hold-off, or has recently rejected requests while retries are scarce.
-*/
+/* Whether the target has asked for a hold-off, or has recently rejected requests
+** while retries are scarce. */
 static int rejects_requests(const pw_target *one, int spares_retries,
                             int64_t now) {
   return now < one->hold_off_until ||
--- a/packages/entry/pwtargets.h
+++ b/packages/entry/pwtargets.h
@@ -29,11 +29,11 @@
 
   pw_link_state link;
   pw_peer peer;
-  int64_t link_heard; /* last message over the link */
-  int64_t pinged_at;  /* last Ping sent */
-  int64_t unanswered; /* first Ping sent since link_heard */
-  int64_t dialled_at; /* when the link was dialled */
-  int in_flight;      /* attempts of this entry */
+  int64_t link_heard;       /* last message over the link */
+  int64_t pinged_at;        /* last Ping sent */
+  int64_t unanswered_since; /* first Ping sent since link_heard */
+  int64_t dialled_at;       /* when the link was dialled */
+  int in_flight;            /* attempts of this entry */
 
   int64_t heard; /* when the newest report was made, whoever forwarded it */
   uint64_t incarnation;
@@ -44,11 +44,10 @@
   double pending; /* tokens this entry sent since the report */
   uint32_t queued;
   uint32_t retry_after;
-  int64_t
-      hold_off_until;  /* end of the target's hold-off: it gets no requests */
-  pw_reject rejects;   /* recent rejections although the target had room */
-  int changed;         /* since the load was last reported to the peers */
-  int64_t reported_at; /* when the load was last reported to the peers */
+  int64_t hold_off_until; /* end of the hold-off that the target asked for */
+  pw_reject rejects;      /* recent rejections although the target had room */
+  int changed;            /* since the load was last reported to the peers */
+  int64_t reported_at;    /* when the load was last reported to the peers */
   pw_breaker breaker;
 } pw_target;
 
