--- a/packages/agent/pwagent.c
+++ b/packages/agent/pwagent.c
@@ -143,7 +143,7 @@
 }
 
 /* Counts the jobs that were not cancelled. */
-static int live_jobs(const pw_agent *a) {
+static int count_live_jobs(const pw_agent *a) {
   int n = 0;
   for (const pw_ag_job *h = a->jobs; h; h = h->hh.next)
     n += !h->cancelled;
@@ -165,7 +165,7 @@
   }
   if (stopping > 1 || now - a->stop_at > a->p->set->stop_limit)
     return 1;
-  return live_jobs(a) == 0 && now - a->stop_at > PW_HELLO_MS;
+  return count_live_jobs(a) == 0 && now - a->stop_at > PW_HELLO_MS;
 }
 
 static void loop(pw_agent *a) {
--- a/packages/agent/pwcarry.c
+++ b/packages/agent/pwcarry.c
@@ -14,7 +14,7 @@
   return pworder_stop(c->order);
 }
 
-static pw_carry_pool *find(const pw_carry *c, const char *name) {
+static pw_carry_pool *find_pool(const pw_carry *c, const char *name) {
   for (int i = 0; i < c->npools; i++)
     if (!strcmp(c->pool[i].name, name))
       return (pw_carry_pool *)&c->pool[i];
@@ -22,7 +22,7 @@
 }
 
 const pw_pool_sum *pwcarry_pool(const pw_carry *c, const char *name) {
-  const pw_carry_pool *p = find(c, name);
+  const pw_carry_pool *p = find_pool(c, name);
   return p ? &p->sum : NULL;
 }
 
@@ -39,9 +39,9 @@
 
 static void add_pool(void *arg, const char *name) {
   const reading *rd = arg;
-  if (find(rd->c, name) || rd->c->npools == PWCARRY_POOLS)
+  if (find_pool(rd->c, name) || rd->c->npools == PWCARRY_POOLS)
     return;
-  const pw_carry_pool *old = find(rd->before, name);
+  const pw_carry_pool *old = find_pool(rd->before, name);
   pw_carry_pool *p = &rd->c->pool[rd->c->npools++];
   *p = old ? *old : (pw_carry_pool){.sum = {.targets = 1}};
   pw_copy(p->name, sizeof p->name, name);
@@ -72,14 +72,14 @@
     return 0; /* read for the first time */
   int changed = c->npools != before.npools;
   for (int k = 0; k < c->npools; k++)
-    changed |= !find(&before, c->pool[k].name);
+    changed |= !find_pool(&before, c->pool[k].name);
   return changed;
 }
 
 /* The sums are dated back to the Hello that they answer. */
 void pwcarry_sums(pw_carry *c, const Pw__Welcome *w) {
   for (size_t i = 0; i < w->n_pools; i++) {
-    pw_carry_pool *p = find(c, w->pools[i]->pool);
+    pw_carry_pool *p = find_pool(c, w->pools[i]->pool);
     if (!p)
       continue;
     p->sum = (pw_pool_sum){.tokens = (double)w->pools[i]->tokens,
--- a/packages/entry/pwask.c
+++ b/packages/entry/pwask.c
@@ -59,7 +59,8 @@
   return PW_OK;
 }
 
-static pw_code read_once(pw_http *h, pw_call *c, char *message, size_t cap) {
+static pw_code read_repeat_headers(pw_http *h, pw_call *c, char *message,
+                                   size_t cap) {
   const char *repeat = pwserve_header(h, "Peatwell-Repeat");
   const char *key = pwserve_header(h, "Idempotency-Key");
   if (key && !is_token(key, PW_KEY_MAX)) {
@@ -86,7 +87,7 @@
   long deadline = PW_DEADLINE_DEFAULT;
   pw_code rc = read_chat(h, c, message, cap);
   if (rc == PW_OK)
-    rc = read_once(h, c, message, cap);
+    rc = read_repeat_headers(h, c, message, cap);
   if (rc == PW_OK)
     rc = read_number(h, "Peatwell-Priority", PRIORITY_MAX, &priority, message,
                      cap);
@@ -192,8 +193,9 @@
   }
   json_t *doc = json_loadb(c->body, c->body_len, JSON_REJECT_DUPLICATES, &e);
   if (!doc) {
-    snprintf(message, cap, "line %d column %d: %.100s", e.line, e.column,
-             e.text);
+    snprintf(message, cap,
+             "request body: invalid JSON at line %d column %d: %.100s", e.line,
+             e.column, e.text);
     return PW_E_BODY;
   }
   const char *why;
--- a/packages/entry/pwattempt.c
+++ b/packages/entry/pwattempt.c
@@ -119,7 +119,7 @@
     f->maybe_started++;
     return;
   }
-  f->state = F_OPENING; /* not sent: tick_one goes on to another target */
+  f->state = F_OPENING; /* not sent: tick_flight goes on to another target */
   pwtargets_lose(fs->targets, t);
 }
 
--- a/packages/entry/pwcall.c
+++ b/packages/entry/pwcall.c
@@ -153,7 +153,7 @@
 }
 
 /* Sends the answer, the error, or the beginning of a stream. The lock is held. */
-static void answer(pw_call *c) {
+static void send_answer(pw_call *c) {
   pw_http *h = c->h;
   add_headers(c, h);
   c->headers_sent = 1;
@@ -173,7 +173,7 @@
   pthread_mutex_lock(&c->lock);
   int ready = c->ended || (c->stream && c->answered && c->out.len);
   if (c->h && ready && !c->headers_sent) {
-    answer(c);
+    send_answer(c);
   } else if (c->h && !c->headers_sent) {
     c->suspended = 1;
     pwserve_wait(c->h);
--- a/packages/entry/pwentry.c
+++ b/packages/entry/pwentry.c
@@ -274,7 +274,7 @@
   }
 }
 
-static void on_lost(entry *en, int64_t now) {
+static void on_link_lost(entry *en, int64_t now) {
   char addr[128];
   while (pwwire_lost(en->dialler, addr, sizeof addr))
     pwflight_lost(en->flights, addr, &en->policy, now);
@@ -334,7 +334,7 @@
 }
 
 /* Reloads the certificate. The previous one stays in use if that fails. */
-static void renew(entry *en) {
+static void renew_certificate(entry *en) {
   pw_buf err = {0};
   if (!atomic_exchange(&en->p->renew, 0) || !en->p->set->entry_tls_cert[0])
     return;
@@ -364,7 +364,7 @@
 }
 
 static void tick(entry *en, int64_t now) {
-  renew(en);
+  renew_certificate(en);
   if (pwlag_catch_up(&en->lag, now) == 0)
     check_timeouts(en, now);
   update_snapshot(en, now);
@@ -415,7 +415,7 @@
     on_listener(en, now);
     on_dialler(en, now);
     resources_changed(en, now);
-    on_lost(en, now);
+    on_link_lost(en, now);
     on_mail(en, now);
     if (now - ticked >= TICK_MS) {
       ticked = now;
--- a/packages/entry/pwflight.c
+++ b/packages/entry/pwflight.c
@@ -92,8 +92,8 @@
   f->target = 0;
 }
 
-static void begin(pw_flights *fs, pw_call *c, const pw_policy *policy,
-                  int may_serve, int64_t now) {
+static void start_flight(pw_flights *fs, pw_call *c, const pw_policy *policy,
+                         int may_serve, int64_t now) {
   pw_flight *f = pw_alloc(sizeof *f);
   draw_id(f->attempt);
   f->call = c;
@@ -137,7 +137,7 @@
 
 /* Cancels the request of a caller that hung up. A request that may run only once
 ** runs on, so that its recorded answer can be replayed when it is resent. */
-static void abandon(pw_flights *fs, pw_flight *f) {
+static void cancel_abandoned(pw_flights *fs, pw_flight *f) {
   if (f->state == F_RECORDING || f->call->never)
     return;
   if (f->state == F_SENT || f->state == F_ANSWERING)
@@ -162,7 +162,7 @@
     pwretry_init(&fs->budget, fs->retry_share, PW_RETRY_RESERVE);
   }
   if (note->kind == PW_NOTE_NEW) {
-    begin(fs, note->call, policy, may_serve, now);
+    start_flight(fs, note->call, policy, may_serve, now);
     return;
   }
   pw_flight *f = by_call(fs, note->call);
@@ -171,7 +171,7 @@
   if (note->kind == PW_NOTE_TAKEN)
     on_taken(fs, f);
   else
-    abandon(fs, f);
+    cancel_abandoned(fs, f);
 }
 
 static void tick_ledger(pw_flights *fs, pw_flight *f, int64_t now) {
@@ -196,8 +196,8 @@
     pwfl_send_claim(fs, f, now);
 }
 
-static void tick_one(pw_flights *fs, pw_flight *f, const pw_policy *policy,
-                     int64_t now) {
+static void tick_flight(pw_flights *fs, pw_flight *f, const pw_policy *policy,
+                        int64_t now) {
   if (f->state == F_CLAIMING || f->state == F_RECORDING) {
     tick_ledger(fs, f, now);
     return;
@@ -233,7 +233,7 @@
     return;
   f->caller_checked_at = now;
   if (pwcall_is_gone(f->call))
-    abandon(fs, f);
+    cancel_abandoned(fs, f);
 }
 
 /* Pings silent links that have attempts in flight, and hangs up those that owe
@@ -264,7 +264,7 @@
   for (pw_flight *f = fs->all; f; f = f->hh.next)
     list[k++] = f;
   for (size_t i = 0; i < k; i++)
-    tick_one(fs, list[i], policy, now);
+    tick_flight(fs, list[i], policy, now);
   free(list);
   tick_links(fs, policy, now);
   pwquar_tick(fs->quarantine, now);
--- a/packages/entry/pwreport.c
+++ b/packages/entry/pwreport.c
@@ -32,8 +32,8 @@
   pw_bucket bucket;
   int64_t sent;             /* last message with loads */
   int64_t suspects_sent_at; /* last message with suspects */
-  own *mine;
-  int nmine;
+  own *own_targets;
+  int nown;
   int cap;
 };
 
@@ -53,24 +53,24 @@
 void pwreport_free(pw_reports *r) {
   if (!r)
     return;
-  free(r->mine);
+  free(r->own_targets);
   free(r);
 }
 
-static void note_mine(pw_reports *r, uint64_t id, int64_t now) {
-  for (int i = 0; i < r->nmine; i++)
-    if (r->mine[i].id == id) {
-      r->mine[i].at = now;
+static void note_own_target(pw_reports *r, uint64_t id, int64_t now) {
+  for (int i = 0; i < r->nown; i++)
+    if (r->own_targets[i].id == id) {
+      r->own_targets[i].at = now;
       return;
     }
-  if (r->nmine == r->cap) {
+  if (r->nown == r->cap) {
     r->cap = r->cap ? r->cap * 2 : 32;
-    own *grown = realloc(r->mine, sizeof *grown * (size_t)r->cap);
+    own *grown = realloc(r->own_targets, sizeof *grown * (size_t)r->cap);
     if (!grown)
       abort();
-    r->mine = grown;
+    r->own_targets = grown;
   }
-  r->mine[r->nmine++] = (own){id, now};
+  r->own_targets[r->nown++] = (own){id, now};
 }
 
 void pwreport_child(pw_reports *r, const Pw__Load *load, int64_t at,
@@ -78,7 +78,7 @@
   const pw_target *t = pwtargets_by_name(r->targets, load->target);
   if (!t)
     return;
-  note_mine(r, t->id, now);
+  note_own_target(r, t->id, now);
   pwtargets_report(r->targets, load, at - (int64_t)load->age, now);
 }
 
@@ -113,11 +113,12 @@
 }
 
 /* Collects the loads of own targets that are due for a report. */
-static int gather(pw_reports *r, Pw__Load *rows, Pw__Load **list, int64_t now) {
+static int collect_due_loads(pw_reports *r, Pw__Load *rows, Pw__Load **list,
+                             int64_t now) {
   int n = 0;
-  for (int i = 0; i < r->nmine && n < ROWS_MAX; i++) {
-    pw_target *t = pwtargets_by_id(r->targets, r->mine[i].id);
-    if (!t || now - r->mine[i].at > OWN_MS || !is_due(t, now))
+  for (int i = 0; i < r->nown && n < ROWS_MAX; i++) {
+    pw_target *t = pwtargets_by_id(r->targets, r->own_targets[i].id);
+    if (!t || now - r->own_targets[i].at > OWN_MS || !is_due(t, now))
       continue;
     fill_row(&rows[n], t, now);
     list[n] = &rows[n];
@@ -146,14 +147,14 @@
 void pwreport_tick(pw_reports *r, int64_t now) {
   if (!r->npeers || now - r->sent < r->p->set->entry_report)
     return;
-  double cost = (double)r->npeers * (HEAD_BYTES + ROW_BYTES * r->nmine);
+  double cost = (double)r->npeers * (HEAD_BYTES + ROW_BYTES * r->nown);
   if (cost > BYTES_PER_S)
     cost = BYTES_PER_S;
   if (pwbucket_wait(&r->bucket, cost, now) > 0)
     return;
   Pw__Load *rows = pw_alloc(sizeof *rows * ROWS_MAX);
   Pw__Load **list = pw_alloc(sizeof *list * ROWS_MAX);
-  int n = gather(r, rows, list, now);
+  int n = collect_due_loads(r, rows, list, now);
   r->sent = now;
   if (n) {
     Pw__Loads loads = PW__LOADS__INIT;
--- a/packages/entry/pwsuspicion.c
+++ b/packages/entry/pwsuspicion.c
@@ -11,19 +11,19 @@
 
 /* Updates the counter, and logs the start and end of a quarantine. */
 static void note_suspect(pw_flights *fs, uint64_t fingerprint,
-                         pw_quar_news news) {
+                         pw_quar_news change) {
   const pw_quarantine *q = fs->quarantine;
-  if (news == PWQUAR_OLD)
+  if (change == PWQUAR_OLD)
     return;
   pwcount_set(fs->p->counters, PWC_ENDED_UNDER, pwquar_total(q));
-  if (news == PWQUAR_BEGUN || news == PWQUAR_RELEASED)
-    pwlog(LOG_WARNING, news == PWQUAR_BEGUN ? "quarantined" : "released",
+  if (change == PWQUAR_BEGUN || change == PWQUAR_RELEASED)
+    pwlog(LOG_WARNING, change == PWQUAR_BEGUN ? "quarantined" : "released",
           "sign=%016llx ends=%d", (unsigned long long)fingerprint,
           pwquar_ends(q, fingerprint));
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news news) {
-  note_suspect(arg, fingerprint, news);
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news change) {
+  note_suspect(arg, fingerprint, change);
 }
 
 void pwflight_hear_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now) {
