--- a/packages/entry/pwreport.c
+++ b/packages/entry/pwreport.c
@@ -9,17 +9,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROW_BYTES 70       /* of one load in a message, about */
-#define HEAD_BYTES 80      /* of the rest */
-#define BYTES_PER_S 4000.0 /* budget for telling peers */
-#define REFRESH_MS 5000    /* an unchanged load is told this often */
-#define ROWS_MAX 256
-#define SUSPECTS_MS 100 /* as gateways tell each other */
-#define OWN_MS 15000    /* an agent that told us within this is ours */
+#define ROW_BYTES 70       /* approximate size of one load in a message */
+#define HEAD_BYTES 80      /* approximate size of the rest of a message */
+#define BYTES_PER_S 4000.0 /* budget for reports to all peers */
+#define REFRESH_MS 5000    /* an unchanged load is resent after this time */
+#define ROWS_MAX 256       /* loads in one message */
+#define SUSPECTS_MS 100    /* between messages on suspects, as at gateways */
+#define OWN_MS 15000       /* an agent that reported here within this is ours */
 
+/* A target whose agent reports to this entry. */
 typedef struct own {
   uint64_t id;
-  int64_t at;
+  int64_t at; /* newest report */
 } own;
 
 struct pw_reports {
@@ -29,10 +30,10 @@
   pw_peer peer[PW_LIST_MAX];
   int npeers;
   pw_bucket bucket;
-  int64_t sent;
-  int64_t suspected; /* when suspects were told last */
-  own *mine;
-  int nmine;
+  int64_t sent;             /* last message with loads */
+  int64_t suspects_sent_at; /* last message with suspects */
+  own *own_targets;
+  int nown;
   int cap;
 };
 
@@ -52,24 +53,24 @@
 void pwreport_free(pw_reports *r) {
   if (!r)
     return;
-  free(r->mine);
+  free(r->own_targets);
   free(r);
 }
 
-static void note_mine(pw_reports *r, uint64_t id, int64_t now) {
-  for (int i = 0; i < r->nmine; i++)
-    if (r->mine[i].id == id) {
-      r->mine[i].at = now;
+static void note_own_target(pw_reports *r, uint64_t id, int64_t now) {
+  for (int i = 0; i < r->nown; i++)
+    if (r->own_targets[i].id == id) {
+      r->own_targets[i].at = now;
       return;
     }
-  if (r->nmine == r->cap) {
+  if (r->nown == r->cap) {
     r->cap = r->cap ? r->cap * 2 : 32;
-    own *grown = realloc(r->mine, sizeof *grown * (size_t)r->cap);
+    own *grown = realloc(r->own_targets, sizeof *grown * (size_t)r->cap);
     if (!grown)
       abort();
-    r->mine = grown;
+    r->own_targets = grown;
   }
-  r->mine[r->nmine++] = (own){id, now};
+  r->own_targets[r->nown++] = (own){id, now};
 }
 
 void pwreport_child(pw_reports *r, const Pw__Load *load, int64_t at,
@@ -77,7 +78,7 @@
   const pw_target *t = pwtargets_by_name(r->targets, load->target);
   if (!t)
     return;
-  note_mine(r, t->id, now);
+  note_own_target(r, t->id, now);
   pwtargets_report(r->targets, load, at - (int64_t)load->age, now);
 }
 
@@ -100,42 +101,43 @@
   l->incarnation = t->incarnation;
   l->age = (uint32_t)(now - t->report.at);
   l->retry_after = t->retry_after;
-  if (t->held_until > t->report.at)
-    l->held_off = (uint64_t)(t->held_until - t->report.at);
+  if (t->hold_off_until > t->report.at)
+    l->held_off = (uint64_t)(t->hold_off_until - t->report.at);
   l->turned_away = pwreject_is_recent(&t->rejects, t->report.at);
 }
 
 static int is_due(const pw_target *t, int64_t now) {
   if (t->incarnation == 0)
     return 0;
-  return t->changed || now - t->told > REFRESH_MS;
+  return t->changed || now - t->reported_at > REFRESH_MS;
 }
 
-/* Rows for the targets of ours that have something to tell. */
-static int gather(pw_reports *r, Pw__Load *rows, Pw__Load **list, int64_t now) {
+/* Collects the loads of own targets that are due for a report. */
+static int collect_due_loads(pw_reports *r, Pw__Load *rows, Pw__Load **list,
+                             int64_t now) {
   int n = 0;
-  for (int i = 0; i < r->nmine && n < ROWS_MAX; i++) {
-    pw_target *t = pwtargets_by_id(r->targets, r->mine[i].id);
-    if (!t || now - r->mine[i].at > OWN_MS || !is_due(t, now))
+  for (int i = 0; i < r->nown && n < ROWS_MAX; i++) {
+    pw_target *t = pwtargets_by_id(r->targets, r->own_targets[i].id);
+    if (!t || now - r->own_targets[i].at > OWN_MS || !is_due(t, now))
       continue;
     fill_row(&rows[n], t, now);
     list[n] = &rows[n];
     t->changed = 0;
-    t->told = now;
+    t->reported_at = now;
     n++;
   }
   return n;
 }
 
 void pwreport_suspects(pw_reports *r, pw_quarantine *q, int64_t now) {
-  pw_suspects told;
-  if (!r->npeers || now - r->suspected < SUSPECTS_MS ||
-      !pwsuspects_fill(&told, q, now))
+  pw_suspects due;
+  if (!r->npeers || now - r->suspects_sent_at < SUSPECTS_MS ||
+      !pwsuspects_fill(&due, q, now))
     return;
-  r->suspected = now;
+  r->suspects_sent_at = now;
   Pw__Loads loads = PW__LOADS__INIT;
-  loads.suspects = told.list;
-  loads.n_suspects = told.n;
+  loads.suspects = due.list;
+  loads.n_suspects = due.n;
   for (int i = 0; i < r->npeers; i++) {
     Pw__Envelope e = PW_ENVELOPE(LOADS, loads, &loads);
     pwwire_send(r->sock, &r->peer[i], &e);
@@ -145,14 +147,14 @@
 void pwreport_tick(pw_reports *r, int64_t now) {
   if (!r->npeers || now - r->sent < r->p->set->entry_report)
     return;
-  double cost = (double)r->npeers * (HEAD_BYTES + ROW_BYTES * r->nmine);
+  double cost = (double)r->npeers * (HEAD_BYTES + ROW_BYTES * r->nown);
   if (cost > BYTES_PER_S)
     cost = BYTES_PER_S;
   if (pwbucket_wait(&r->bucket, cost, now) > 0)
     return;
   Pw__Load *rows = pw_alloc(sizeof *rows * ROWS_MAX);
   Pw__Load **list = pw_alloc(sizeof *list * ROWS_MAX);
-  int n = gather(r, rows, list, now);
+  int n = collect_due_loads(r, rows, list, now);
   r->sent = now;
   if (n) {
     Pw__Loads loads = PW__LOADS__INIT;
