--- a/packages/gateway/pwevents.c
+++ b/packages/gateway/pwevents.c
@@ -1,4 +1,4 @@
-/* pwevents.c: streams of events, passed on whole event by whole event. */
+/* pwevents.c: event streams, forwarded in complete events. */
 #include "pwexint.h"
 
 #include <stdarg.h>
@@ -26,27 +26,27 @@
 
 void pwexi_begin_answer(pw_exchange *x) {
   x->has_begun = 1;
-  x->first_at = x->passed_at = pwclock_ms();
-  x->pieces = 0;
-  pwexi_observe(x, PWSTAGE_FIRST, x->passed_at - x->arrived);
-  pwconn_begin(x->client, x->status, x->lines.data ? x->lines.data : "");
-  pwbuf_free(&x->lines);
+  x->first_forwarded_at = x->forwarded_at = pwclock_ms();
+  x->nchunks = 0;
+  pwexi_observe(x, PWSTAGE_FIRST, x->forwarded_at - x->arrived);
+  pwconn_begin(x->caller, x->status, x->headers.data ? x->headers.data : "");
+  pwbuf_free(&x->headers);
 }
 
 static void note_pause(pw_exchange *x) {
   int64_t now = pwclock_ms();
-  if (now - x->passed_at > x->longest_pause)
-    x->longest_pause = now - x->passed_at;
-  x->passed_at = now;
+  if (now - x->forwarded_at > x->longest_pause)
+    x->longest_pause = now - x->forwarded_at;
+  x->forwarded_at = now;
 }
 
 void pwexi_pass(pw_exchange *x, const char *data, size_t n) {
   if (!x->has_begun)
     pwexi_begin_answer(x);
   note_pause(x);
-  x->pieces++;
-  pwconn_piece(x->client, data, n);
-  if (x->u && pwtcp_pending(x->client->tcp) > x->g->hold.untaken &&
+  x->nchunks++;
+  pwconn_piece(x->caller, data, n);
+  if (x->u && pwtcp_pending(x->caller->tcp) > x->g->hold.untaken &&
       !x->is_paused) {
     x->is_paused = 1;
     pwupconn_pause(x->u, 1);
@@ -62,8 +62,8 @@
     pwupconn_pause(x->u, 0);
 }
 
-/* Bytes up to the end of the last whole event: an empty line ends one. */
-static size_t whole_events(const char *p, size_t n) {
+/* Number of bytes up to the end of the last complete event. An empty line ends an event. */
+static size_t complete_events(const char *p, size_t n) {
   for (size_t i = n; i >= 2; i--) {
     if (p[i - 1] != '\n')
       continue;
@@ -75,7 +75,7 @@
   return 0;
 }
 
-/* Notes the id of the last event that has one. */
+/* Records the id of the last event that has one. */
 static void note_id(pw_exchange *x, const char *p, size_t n) {
   for (size_t i = n; i-- > 0;) {
     int begins = i == 0 || p[i - 1] == '\n';
@@ -94,24 +94,24 @@
 }
 
 void pwexi_events(pw_exchange *x, const char *data, size_t n) {
-  if (x->held.len) {
-    x->is_too_long |= x->held.len + n > PWEX_HELD_MAX;
-    if (x->is_too_long)
+  if (x->buffered.len) {
+    x->is_too_large |= x->buffered.len + n > PWEX_HELD_MAX;
+    if (x->is_too_large)
       return;
-    pwbuf_add(&x->held, data, n);
-    size_t whole = whole_events(x->held.data, x->held.len);
-    if (!whole)
+    pwbuf_add(&x->buffered, data, n);
+    size_t complete = complete_events(x->buffered.data, x->buffered.len);
+    if (!complete)
       return;
-    note_id(x, x->held.data, whole);
-    pwexi_pass(x, x->held.data, whole);
-    pwbuf_skip(&x->held, whole);
+    note_id(x, x->buffered.data, complete);
+    pwexi_pass(x, x->buffered.data, complete);
+    pwbuf_skip(&x->buffered, complete);
     return;
   }
-  size_t whole = whole_events(data, n);
-  if (whole) {
-    note_id(x, data, whole);
-    pwexi_pass(x, data, whole);
+  size_t complete = complete_events(data, n);
+  if (complete) {
+    note_id(x, data, complete);
+    pwexi_pass(x, data, complete);
   }
-  if (whole < n)
-    pwbuf_add(&x->held, data + whole, n - whole);
+  if (complete < n)
+    pwbuf_add(&x->buffered, data + complete, n - complete);
 }
--- a/packages/gateway/pwexchange.c
+++ b/packages/gateway/pwexchange.c
@@ -1,30 +1,32 @@
-/* pwexchange.c: the life of one request: it begins, is answered, ends. */
+/* pwexchange.c: an exchange from the caller's request to the end of its answer. */
 #include "pwexint.h"
 
 #include <utlist.h>
 
-/* A caller that asked for the first time longer ago than this part of its goal cannot be
-** answered within it when places are short. */
-#define LATE_PART 4
+/* Divisor of a route's goal time: a caller whose first attempt is older than goal / REPEAT_DIVISOR
+** cannot be answered within the goal when slots are short. */
+#define REPEAT_DIVISOR 4
 
-/* The loop's own timer, which does not count time for which the instance was suspended, is usually
-** that much late at most. */
-#define LATE_TURN_MS 100
+/* A request's timer is rarely more than this late, ms, unless the instance was suspended: the loop's
+** timers do not count that time. */
+#define LATE_TIMER_MS 100
 
-/* An answer that has come when time is over is read for so long, ms. */
-#define READ_MS 200
+/* Time for which bytes that have already arrived are still read after a request's time is over, ms. */
+#define READ_PENDING_MS 200
 
-#define RETRY_SPREAD_MS 300 /* so that not all come back at once */
+/* Random addition to a retry delay, ms, so that callers do not all come back at once. */
+#define RETRY_SPREAD_MS 300
 
-/* A gateway that was started has its configuration by then: control elects a
+/* Time after its start by which a gateway has its configuration, ms: control elects a
 ** leader in one to one and a half leases of 500 ms. */
-#define START_MS 1000
+#define CONFIG_EXPECTED_MS 1000
 
-/* Requests that came before a configuration wait for it, but for no more than this
-** part of the time that their caller has, so that it can come back. */
-#define AWAIT_PART 3
+/* Requests that came before a configuration wait for at most their caller's deadline divided
+** by AWAIT_DIVISOR, so that the caller has time to come back. The other two limit the number of
+** waiting requests and the bytes of their bodies. */
+#define AWAIT_DIVISOR 3
 #define AWAITING_MAX 2000
-#define AWAITING_BYTES (16UL * 1024 * 1024) /* of their bodies */
+#define AWAITING_MAX_BYTES (16UL * 1024 * 1024)
 
 /* --- the end of an exchange --- */
 
@@ -37,19 +39,19 @@
   x->u = NULL;
 }
 
-static void await_no_more(pw_exchange *x) {
+static void leave_waiting_list(pw_exchange *x) {
   pw_gate *g = x->g;
   if (!x->is_awaiting)
     return;
   x->is_awaiting = 0;
   DL_DELETE(g->awaiting, x);
   g->nawaiting--;
-  g->awaiting_bytes -= x->client->body.len;
+  g->awaiting_bytes -= x->caller->body.len;
 }
 
 static void free_exchange(pw_exchange *x) {
   pw_gate *g = x->g;
-  await_no_more(x);
+  leave_waiting_list(x);
   if (x->u) {
     pw_upconn *u = x->u;
     x->u = NULL;
@@ -61,21 +63,21 @@
     pwfleet_drop(x->tried[i]);
   g->nexchanges--;
   pwsite_drop(x->site);
-  pwbuf_free(&x->lines);
-  pwbuf_free(&x->held);
+  pwbuf_free(&x->headers);
+  pwbuf_free(&x->buffered);
   pwgate_later(g, x);
 }
 
-/* Takes the exchange off its client, whose answer is to be written next. */
-static pw_conn *take_client(pw_exchange *x) {
-  pw_conn *c = x->client;
+/* Detaches the exchange from its caller's connection, to which the answer is written next. */
+static pw_conn *detach_caller(pw_exchange *x) {
+  pw_conn *c = x->caller;
   c->state = NULL;
   return c;
 }
 
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms) {
-  pw_conn *c = take_client(x);
+  pw_conn *c = detach_caller(x);
   pwexi_note(x, PWTRACE_FAIL, "refused",
              "target=%s code=%d name=%s why=\"%s\" retry_ms=%lld",
              x->t ? x->t->id : "-", (int)code, pwcode_name(code), why,
@@ -85,25 +87,26 @@
 }
 
 static void answer(pw_exchange *x) {
-  pw_conn *c = take_client(x);
+  pw_conn *c = detach_caller(x);
   int64_t age = pwclock_ms() - x->arrived;
   pwexi_note(x, PWTRACE_WELL, "answered", "status=%d bytes=%zu", x->status,
-             x->held.len);
+             x->buffered.len);
   pwexi_observe(x, PWSTAGE_FIRST, age);
   pwexi_observe(x, PWSTAGE_WHOLE, age);
-  pw_buf lines = x->lines;
-  pw_buf held = x->held;
-  x->lines = x->held = (pw_buf){0};
+  pw_buf headers = x->headers;
+  pw_buf body = x->buffered;
+  x->headers = x->buffered = (pw_buf){0};
   int status = x->status;
   free_exchange(x);
-  pwconn_answer(c, status, lines.data ? lines.data : "", held.data, held.len);
-  pwbuf_free(&lines);
-  pwbuf_free(&held);
+  pwconn_answer(c, status, headers.data ? headers.data : "", body.data,
+                body.len);
+  pwbuf_free(&headers);
+  pwbuf_free(&body);
 }
 
-/* What was passed on cannot be made whole any more. */
+/* The part of the answer that was forwarded cannot be completed any more. */
 void pwexi_break(pw_exchange *x, const char *why) {
-  pw_conn *c = take_client(x);
+  pw_conn *c = detach_caller(x);
   pwexi_note(x, PWTRACE_FAIL, "broken-off", "target=%s why=\"%s\" last=%.*s",
              x->t ? x->t->id : "-", why, (int)x->nlast_event, x->last_event);
   pwcount_add(x->g->p->counters, PWC_GW_BROKEN, 1);
@@ -130,13 +133,13 @@
 }
 
 void pwexchange_stop(pw_exchange *x) {
-  pwexi_break(x, "the planned stop was over");
+  pwexi_break(x, "the grace period of the planned stop ended");
 }
 
 /* --- time --- */
 
 int64_t pwexi_at_target(const pw_exchange *x, int64_t at) {
-  int64_t ms = at - x->sent_at - (x->g->tcp.lag.lost_ms - x->sent_lost);
+  int64_t ms = at - x->sent_at - (x->g->tcp.lag.lost_ms - x->sent_stalled_ms);
   return ms > 0 ? ms : 0;
 }
 
@@ -146,30 +149,30 @@
   return until - pwclock_ms();
 }
 
-/* The caller is told when a configuration will be known. */
+/* Refuses a request with the time by which a configuration is expected. */
 static void refuse_unready(pw_exchange *x) {
   pw_gate *g = x->g;
-  int64_t left = g->started_at + START_MS - pwclock_ms();
+  int64_t left = g->started_at + CONFIG_EXPECTED_MS - pwclock_ms();
   int64_t least = left > PWEX_RETRY_LEAST_MS ? left : PWEX_RETRY_LEAST_MS;
-  pwexi_refuse(x, PW_E_NOT_READY, "no configuration yet",
+  pwexi_refuse(x, PW_E_NOT_READY, "the gateway has no configuration yet",
                least + (int64_t)(pwgate_draw(g) * RETRY_SPREAD_MS));
 }
 
-/* Ms until it may be timed out; -1: it may be now. What has come for it is read first: a timer comes
-** before what is readable, and a standstill makes both due at once. */
-static int64_t put_off_ms(const pw_exchange *x, int64_t now) {
+/* Ms by which the time-out is deferred; -1: not at all. Bytes that have arrived are read first: the loop
+** runs timers before reads, and both are due at once after a stall. */
+static int64_t defer_timeout_ms(const pw_exchange *x, int64_t now) {
   int64_t catch_up = pwlag_catch_up(&x->g->tcp.lag, now);
   if (catch_up > 0)
     return catch_up;
-  if (!x->u || x->is_paused || now >= x->ends_at + READ_MS)
+  if (!x->u || x->is_paused || now >= x->timer_at + READ_PENDING_MS)
     return -1;
   return pwupconn_is_readable(x->u) ? 0 : -1;
 }
 
-/* Its time is over: of its caller or its route, or in which a configuration could come. Gives whether
-** it was ended. */
+/* Handles the end of the caller's deadline, the route's time-out or the wait for a configuration.
+** Returns whether the request was ended. */
 static int time_out(pw_exchange *x, int64_t now) {
-  int64_t wait_ms = put_off_ms(x, now);
+  int64_t wait_ms = defer_timeout_ms(x, now);
   if (wait_ms >= 0) {
     pwtcp_timer(&x->g->tcp, &x->timer, wait_ms);
     return 0;
@@ -186,9 +189,11 @@
     pwexi_seen_bad(x);
   }
   if (!x->has_begun && x->may_have_run)
-    pwexi_refuse(x, PW_E_TIMEOUT, "no whole answer in time", 0);
+    pwexi_refuse(x, PW_E_TIMEOUT,
+                 "no complete answer within the time-out or deadline", 0);
   else
-    pwexi_give_up(x, PW_E_NO_TARGET, "time is up", PWEX_RETRY_LEAST_MS);
+    pwexi_give_up(x, PW_E_NO_TARGET, "the time-out or deadline has passed",
+                  PWEX_RETRY_LEAST_MS);
   return 1;
 }
 
@@ -199,20 +204,20 @@
 }
 
 static void set_timer(pw_exchange *x, int64_t ms) {
-  x->ends_at = pwclock_ms() + ms;
+  x->timer_at = pwclock_ms() + ms;
   pwtcp_timer(&x->g->tcp, &x->timer, ms);
 }
 
 int pwexi_end_late(pw_exchange *x, int64_t now) {
-  return now >= x->ends_at + LATE_TURN_MS && time_out(x, now);
+  return now >= x->timer_at + LATE_TIMER_MS && time_out(x, now);
 }
 
 /* --- beginning --- */
 
-/* What the configuration says of this request: 0, or it was refused. */
+/* Finds route, workspace and service in the configuration. 0, or -1: it was refused. */
 static int admit(pw_exchange *x) {
   pw_gate *g = x->g;
-  const pw_h1 *m = &x->client->request;
+  const pw_h1 *m = &x->caller->request;
   x->route =
       pwsite_route(x->site, x->ask.host.p, x->ask.host.n, m->url, m->nurl);
   if (!x->route) {
@@ -229,40 +234,41 @@
   return 0;
 }
 
-static int64_t late_ms(const pw_exchange *x) {
-  return x->route->goal_ms / LATE_PART;
+static int64_t repeat_margin_ms(const pw_exchange *x) {
+  return x->route->goal_ms / REPEAT_DIVISOR;
 }
 
-/* Whether its caller must have asked a while ago, by the time that it has left: an answer
-** in its goal is worth more than three late ones. */
-static int has_tried_before(pw_exchange *x) {
+/* Whether the caller's remaining time shows that it has tried before. Such a request is deprioritized:
+** one answer within the goal is worth more than three late ones. */
+static int is_repeat(pw_exchange *x) {
   pw_gate_route *r = pwgate_route(x->g, x->route->name);
   int64_t ms = x->ask.deadline_ms;
   if (!r || ms < 0)
     return 0;
-  pwusual_note(&r->usual, ms,
-               pwplaces_share(&x->kept->places) > PWEX_CALM_SHARE);
-  int64_t shortest = pwusual_shortest(&r->usual);
-  x->known_after = pwusual_ms(&r->usual) - shortest + late_ms(x);
-  return ms + late_ms(x) < shortest;
+  pwusual_note(&r->baseline, ms,
+               pwplaces_share(&x->service_state->places) > PWEX_CALM_SHARE);
+  int64_t shortest = pwusual_shortest(&r->baseline);
+  x->retry_known_ms = pwusual_ms(&r->baseline) - shortest + repeat_margin_ms(x);
+  return ms + repeat_margin_ms(x) < shortest;
 }
 
-/* What a workspace sends beyond its usual has what all others leave, by its own urgency. */
+/* Requests that a workspace sends beyond its baseline get only the slots that all others leave, in the
+** order of their own urgency. */
 static int urgency_of(pw_exchange *x) {
   const char *workspace = x->workspace ? x->workspace->name : "";
-  double surplus = pwsurge_note(x->kept->surge, workspace, x->arrived);
+  double surplus = pwsurge_note(x->service_state->surge, workspace, x->arrived);
   int urgency = x->route->priority > 0 ? x->route->priority : 0;
   if (urgency >= PWPLACES_SURPLUS)
     urgency = PWPLACES_SURPLUS - 1;
   return pwgate_draw(x->g) < surplus ? PWPLACES_SURPLUS + urgency : urgency;
 }
 
-static uint64_t sign_of(const pw_exchange *x) {
-  const pw_h1 *m = &x->client->request;
+static uint64_t fingerprint_of(const pw_exchange *x) {
+  const pw_h1 *m = &x->caller->request;
   return pwsign_of(x->workspace ? x->workspace->name : "",
                    http_method_str((enum http_method)m->parser.method),
                    (pw_span){m->url, m->nurl},
-                   (pw_span){x->client->body.data, x->client->body.len});
+                   (pw_span){x->caller->body.data, x->caller->body.len});
 }
 
 static void start(pw_exchange *x) {
@@ -270,29 +276,29 @@
   x->site = pwsite_hold(g->site);
   if (admit(x) != 0)
     return;
-  x->sign = sign_of(x);
+  x->fingerprint = fingerprint_of(x);
   x->timeout_at = x->arrived + x->route->timeout_ms;
   x->deadline_at =
       x->ask.deadline_ms >= 0 ? x->arrived + x->ask.deadline_ms : x->timeout_at;
-  x->kept = pwgate_service(g, x->service->name);
+  x->service_state = pwgate_service(g, x->service->name);
   x->urgency = urgency_of(x);
-  x->is_last = has_tried_before(x);
-  pwretries_request(&x->kept->retries, x->arrived);
+  x->is_deprioritized = is_repeat(x);
+  pwretries_request(&x->service_state->retries, x->arrived);
   set_timer(x, pwexi_time_left(x));
   pwexi_place(x);
 }
 
 /* --- requests that came before a configuration --- */
 
-/* It waits: as long as a caller can come back after it in time. */
-static void await(pw_exchange *x) {
+/* Queues the request until a configuration comes, or refuses it when too many wait. */
+static void await_configuration(pw_exchange *x) {
   pw_gate *g = x->g;
-  size_t bytes = x->client->body.len;
+  size_t bytes = x->caller->body.len;
   int64_t wait_ms = g->p->set->gateway_await;
-  if (x->ask.deadline_ms >= 0 && x->ask.deadline_ms / AWAIT_PART < wait_ms)
-    wait_ms = x->ask.deadline_ms / AWAIT_PART;
+  if (x->ask.deadline_ms >= 0 && x->ask.deadline_ms / AWAIT_DIVISOR < wait_ms)
+    wait_ms = x->ask.deadline_ms / AWAIT_DIVISOR;
   if (g->nawaiting == AWAITING_MAX ||
-      g->awaiting_bytes + bytes > AWAITING_BYTES) {
+      g->awaiting_bytes + bytes > AWAITING_MAX_BYTES) {
     refuse_unready(x);
     return;
   }
@@ -306,7 +312,7 @@
 void pwexchange_go_on(pw_gate *g) {
   while (g->awaiting) {
     pw_exchange *x = g->awaiting;
-    await_no_more(x);
+    leave_waiting_list(x);
     start(x);
   }
 }
@@ -315,7 +321,7 @@
   pw_gate *g = c->all->arg;
   pw_exchange *x = pw_alloc(sizeof *x);
   x->g = g;
-  x->client = c;
+  x->caller = c;
   c->state = x;
   x->arrived = pwclock_ms();
   g->nexchanges++;
@@ -326,11 +332,11 @@
   if (pwgate_may_serve(g))
     start(x);
   else
-    await(x);
+    await_configuration(x);
 }
 
 size_t pwexchange_held(const pw_exchange *x) {
-  return x->held.cap + x->lines.cap + (x->u ? pwupconn_held(x->u) : 0);
+  return x->buffered.cap + x->headers.cap + (x->u ? pwupconn_held(x->u) : 0);
 }
 
 /* --- answers --- */
@@ -338,7 +344,7 @@
 void pwexchange_sent(pw_exchange *x) {
   x->is_sent = 1;
   x->may_have_run = 1;
-  if (!x->is_fresh_only)
+  if (!x->needs_new_conn)
     x->runs++;
 }
 
@@ -347,45 +353,46 @@
   return !told->is_mine;
 }
 
-static void keep_lines(pw_exchange *x, const pw_h1 *m) {
-  x->lines.len = 0;
+static void copy_headers(pw_exchange *x, const pw_h1 *m) {
+  x->headers.len = 0;
   for (int i = 0; i < m->nheaders; i++) {
     const pw_h1_header *h = &m->header[i];
     if (!pwh1_is_hop(m, h))
-      pwh1_write(&x->lines, h);
+      pwh1_write(&x->headers, h);
   }
 }
 
 void pwexchange_head(pw_exchange *x, const pw_h1 *m, const pw_told *told) {
   int status = m->parser.status_code;
-  x->told = *told;
+  x->answer_info = *told;
   x->status = status;
-  x->held.len = 0;
-  x->is_events = x->route->is_stream && status / 100 == 2 && told->is_whole;
+  x->buffered.len = 0;
+  x->is_event_stream =
+      x->route->is_stream && status / 100 == 2 && told->is_whole;
   if (!x->has_begun)
-    keep_lines(x, m);
+    copy_headers(x, m);
 }
 
 void pwexchange_body(pw_exchange *x, const char *data, size_t n) {
-  if (x->is_events)
+  if (x->is_event_stream)
     pwexi_events(x, data, n);
-  else if (x->held.len + n <= PWEX_HELD_MAX)
-    pwbuf_add(&x->held, data, n);
+  else if (x->buffered.len + n <= PWEX_HELD_MAX)
+    pwbuf_add(&x->buffered, data, n);
   else
-    x->is_too_long = 1;
+    x->is_too_large = 1;
 }
 
-static void whole_stream(pw_exchange *x, int64_t now) {
+static void complete_stream(pw_exchange *x, int64_t now) {
   pwexi_note_answered(x, now);
   pwexi_seen_good(x, now);
   pwfleet_answered(x->t, 0, pwclock_ms());
-  if (x->held.len) { /* bytes after the last whole event */
-    pwexi_pass(x, x->held.data, x->held.len);
-    x->held.len = 0;
+  if (x->buffered.len) { /* bytes after the last complete event */
+    pwexi_pass(x, x->buffered.data, x->buffered.len);
+    x->buffered.len = 0;
   }
   if (!x->has_begun)
     pwexi_begin_answer(x);
-  pw_conn *c = take_client(x);
+  pw_conn *c = detach_caller(x);
   pwexi_note(x, PWTRACE_WELL, "answered", "status=%d stream=1 pause=%lld",
              x->status, (long long)x->longest_pause);
   pwexi_observe(x, PWSTAGE_PAUSE, x->longest_pause);
@@ -394,7 +401,7 @@
   pwconn_end(c);
 }
 
-/* Whether a status tells the caller that its request has not run. */
+/* Whether a status promises the caller that its request has not run. */
 static int promises_not_run(int status) {
   return status == HTTP_STATUS_REQUEST_TIMEOUT ||
          status == HTTP_STATUS_MISDIRECTED_REQUEST ||
@@ -406,24 +413,27 @@
   int64_t now = pwclock_ms();
   int is_good = x->status / 100 == 2;
   x->u = NULL;
-  if (x->is_events && x->is_too_long) {
+  if (x->is_event_stream && x->is_too_large) {
     pwfleet_failed(x->t, now);
-    pwexi_unknown(x, "an event without an end");
-  } else if (x->is_events) {
-    whole_stream(x, now);
-  } else if (x->told.not_run && x->status != HTTP_STATUS_BAD_REQUEST) {
+    pwexi_unknown(x, "an event of the stream is larger than the buffer");
+  } else if (x->is_event_stream) {
+    complete_stream(x, now);
+  } else if (x->answer_info.not_run && x->status != HTTP_STATUS_BAD_REQUEST) {
     pwexi_not_run(x);
   } else if (promises_not_run(x->status)) {
-    /* Without the proof it may have run: passed on, the status would deny it. */
+    /* Without proof the request may have run: the status would wrongly deny that if it were forwarded. */
     pwfleet_erred(x->t, now);
-    pwexi_unknown(x, "the target refused it without a proof");
-  } else if (x->has_begun || x->is_too_long || (is_good && !x->told.is_whole)) {
+    pwexi_unknown(
+        x, "the target rejected the request without proof that it did not run");
+  } else if (x->has_begun || x->is_too_large ||
+             (is_good && !x->answer_info.is_whole)) {
     pwfleet_failed(x->t, now);
-    pwexi_unknown(x, "the answer is not one");
+    pwexi_unknown(
+        x, "the answer is too large, unsigned or does not continue the stream");
   } else if (x->status / 100 == 5 && pwexi_may_repeat(x, now)) {
     pwexi_seen_bad(x);
     pwfleet_erred(x->t, now);
-    pwexi_retry(x, "the target failed", 1);
+    pwexi_retry(x, "the target answered with a server error", 1);
   } else {
     if (is_good) {
       pwexi_note_answered(x, now);
--- a/packages/gateway/pwexint.h
+++ b/packages/gateway/pwexint.h
@@ -1,5 +1,5 @@
-/* pwexint.h: state of one exchange, for pwexchange.c, pwexsend.c, pwexfail.c,
-** pwexseen.c and pwevents.c alone. */
+/* pwexint.h: state of one exchange, private to pwexchange.c, pwexsend.c, pwexfail.c,
+** pwexseen.c, pwevents.c and pwunderway.c. */
 #ifndef PWEXINT_H
 #define PWEXINT_H
 
@@ -8,152 +8,161 @@
 #include "pwtrace.h"
 
 #define PWEX_TRIED_MAX 8
-#define PWEX_HELD_MAX (4 * 1024 * 1024) /* bytes of an answer that is held */
-#define PWEX_EVENT_ID 64                /* longest id of an event */
+#define PWEX_HELD_MAX (4 * 1024 * 1024) /* bytes buffered of one answer */
+#define PWEX_EVENT_ID 64                /* longest event id, in bytes */
 
-/* While more than this part of those who ask get a place, hardly anyone comes back. */
+/* Slots are not short while more than this share of requests gets one: then
+** hardly any caller has to come back. */
 #define PWEX_CALM_SHARE 0.99
 
-/* When to come back, where nothing better is known, ms. */
+/* Default retry delays sent to callers, ms. */
 #define PWEX_RETRY_NO_TARGET_MS 700
 #define PWEX_RETRY_LEAST_MS 100
 
 struct pw_exchange {
   pw_gate *g;
-  pw_conn *client;
-  pw_site *site; /* the configuration that it came under */
+  pw_conn *caller;
+  pw_site *site; /* the configuration under which it was admitted */
   const pw_site_route *route;
   const pw_site_service *service;
   const pw_site_workspace *workspace; /* or NULL */
-  pw_gate_service *kept;              /* of its service */
+  pw_gate_service *service_state;
   pw_ask ask;
-  uint64_t sign; /* what it is, whichever id it has */
+  uint64_t fingerprint; /* hash of its content, without the request id */
   int64_t arrived, deadline_at, timeout_at; /* ms */
   ev_timer timer;
-  int64_t ends_at; /* when the timer ends, ms */
-  int is_awaiting; /* a configuration; what follows from it is not known yet */
-  pw_exchange *prev, *next; /* of those */
-
-  pw_fleet_side side; /* the targets that it may go to */
-  int urgency;        /* 0 first: its route's priority, or after all others */
-  int is_last;        /* it goes after others of its urgency */
-  int64_t
-      known_after; /* its caller is known to have tried before by then, ms */
-
-  /* where it is now */
-  pw_target *t;      /* NULL: nowhere */
-  pw_target *holder; /* another that has its prompt, not held; or NULL */
+  int64_t timer_at; /* when the timer expires, ms */
+  /* It waits for a configuration; route, service and the fields that depend on them
+  ** are not set yet. */
+  int is_awaiting;
+  pw_exchange *prev, *next; /* in the list of waiting requests */
+
+  pw_fleet_side side;   /* the versions of the service that it may go to */
+  int urgency;          /* 0 is the most urgent */
+  int is_deprioritized; /* admitted after others of the same urgency */
+  /* A retry of the caller after at least this delay is recognised as one, ms. */
+  int64_t retry_known_ms;
+
+  /* current attempt */
+  pw_target *t; /* NULL: none */
+  /* Another target that has its prompt cached, or NULL. Not reference-counted. */
+  pw_target *holder;
   pw_upconn *u;
-  int is_sent; /* bytes of it have gone to t */
+  int is_sent; /* bytes of it have been sent to t */
   int64_t sent_at;
-  int64_t sent_lost; /* lost_ms of the loop by then */
-  int64_t first_at;  /* when its first piece was passed on ... */
-  int pieces;        /* ... and how many since */
-  int64_t passed_at; /* when the newest bytes of its stream were passed on */
+  int64_t sent_stalled_ms;    /* the event loop's total stall time at sent_at */
+  int64_t first_forwarded_at; /* when its first chunk was forwarded */
+  int nchunks;                /* chunks forwarded */
+  int64_t forwarded_at;       /* when its last chunk was forwarded */
   int64_t longest_pause;
 
-  /* where it has been */
+  /* past attempts */
   pw_target *tried[PWEX_TRIED_MAX];
   int ntried;
-  int runs;     /* targets that may have run it */
-  int hops;     /* targets that proved they did not */
-  int connects; /* connections that did not come up */
+  int runs;             /* targets that may have run it */
+  int hops;             /* targets that proved that they did not run it */
+  int connect_failures; /* connections that could not be made */
   int may_have_run;
-  int is_fresh_only; /* sent again to the same target, over a new connection */
+  int needs_new_conn; /* sent again to the same target, over a new connection */
 
-  /* its answer */
-  pw_told told;
+  /* answer */
+  pw_told answer_info;
   int status;
-  int is_events;   /* a stream of events that is passed on */
-  int is_too_long; /* to be held */
-  int has_begun;   /* the caller has its head */
-  int is_paused;   /* the caller does not keep up */
-  pw_buf lines;    /* headers for the caller */
-  pw_buf held;     /* the answer, or the beginning of an event */
+  int is_event_stream; /* forwarded event by event */
+  int is_too_large;    /* larger than PWEX_HELD_MAX */
+  int has_begun;       /* the caller has its head */
+  int is_paused;       /* the caller reads too slowly */
+  pw_buf headers;      /* for the caller */
+  pw_buf buffered;     /* the answer, or the beginning of an event */
   char last_event[PWEX_EVENT_ID];
   size_t nlast_event;
 };
 
-/* A line about this request. */
+/* Logs an event of this request. */
 void pwexi_note(const pw_exchange *x, pw_trace_kind kind, const char *event,
                 const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
-/* Notes the latency of a stage. */
+/* Records the latency of a stage. */
 void pwexi_observe(const pw_exchange *x, pw_stage stage, int64_t ms);
 
-/* Lets go of the target. */
+/* Releases the current target. */
 void pwexi_let_go(pw_exchange *x);
 
-/* Ms for which its target has had it, by `at`, without what this process stood still. */
+/* Ms for which the current target has had the request at time `at`, not counting the time for which
+** this process was stalled. */
 int64_t pwexi_at_target(const pw_exchange *x, int64_t at);
 
 /* Ms until it must have ended. */
 int64_t pwexi_time_left(const pw_exchange *x);
 
-/* Ends: with a code, or by breaking off what has begun. */
+/* Ends it with an error code, or by breaking off an answer that has begun. */
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms);
 void pwexi_break(pw_exchange *x, const char *why);
 
-/* Ends as is true: breaks off what has begun, says that it may have run, or else
-** refuses with a code that promises that it did not. */
+/* Ends it truthfully: breaks off an answer that has begun, reports an unknown outcome if it may have
+** run, and else refuses it with `code`, which promises that it did not run. */
 void pwexi_give_up(pw_exchange *x, pw_code code, const char *why,
                    int64_t retry_ms);
 
-/* Ends it when its time was over a while ago, as after the instance was suspended; gives whether it
-** did. */
+/* Ends it when its time was over a while ago, as after the instance was suspended. Returns whether it
+** was ended. */
 int pwexi_end_late(pw_exchange *x, int64_t now);
 
 /* --- pwexsend.c --- */
 
-/* Picks a target and sends it there, or ends it. */
+/* Picks a target and sends the request there, or ends it. */
 void pwexi_place(pw_exchange *x);
 
-/* Sends it to x->t; -1: no connection can be had. */
+/* Sends it to x->t; -1: no connection can be made. */
 int pwexi_send(pw_exchange *x);
 
 /* --- pwexseen.c --- */
 
-/* The target answered with a failure of its own, or too late. */
+/* Counts a failure of the target's own, or an answer that came too late, against its version. */
 void pwexi_seen_bad(const pw_exchange *x);
 
-/* It answered well, by now. */
+/* Counts a successful answer, complete at `now`, for the version of its target; a slow one against it. */
 void pwexi_seen_good(const pw_exchange *x, int64_t now);
 
 /* --- pwexfail.c --- */
 
-/* The target ended while it had the request; or it went dark, which may be for the request's own
-** length. */
+/* The target crashed while it had the request. */
 void pwexi_note_ended(pw_exchange *x, int64_t now);
+
+/* The target became unresponsive while it had the request, which may also be because the request takes
+** long. */
 void pwexi_note_dark(pw_exchange *x, int64_t now);
 
-/* The target answered with success: it did not end under the request. That another failed it by an
-** answer of its own proves nothing: it may not have begun to run it. */
+/* The target answered with success, so it did not crash while running the request. An error answer
+** proves nothing: that target may not have begun to run it. */
 void pwexi_note_answered(pw_exchange *x, int64_t now);
 
-/* Ends it when it is in quarantine; gives whether it did. */
+/* Ends it when it is in quarantine. Returns whether it was ended. */
 int pwexi_end_quarantined(pw_exchange *x, int64_t now);
 
-/* Lets go, and places it again. */
+/* Releases the target and dispatches the request again. */
 void pwexi_retry(pw_exchange *x, const char *why, int may_have_run);
 
-/* Whether a request that may have run may go to another target: its route says
-** so and the budget pays. */
+/* Whether a request that may have run may go to another target: its route allows it
+** and the retry budget pays for it. */
 int pwexi_may_repeat(pw_exchange *x, int64_t now);
 
-/* A failure after which it may have run: another attempt, or the end. */
+/* A failure after which the request may have run: retries it, or ends it. */
 void pwexi_unknown(pw_exchange *x, const char *why);
 
-/* The target proved that it did not run it: another attempt, or the end. */
+/* The target proved that it did not run the request: retries it, or ends it. */
 void pwexi_not_run(pw_exchange *x);
 
 /* --- pwevents.c --- */
 
-/* Bytes of a stream: passes on the events that are whole. */
+/* Takes bytes of a stream and forwards the events that are complete. */
 void pwexi_events(pw_exchange *x, const char *data, size_t n);
 
-/* Passes bytes on, after the head. */
+/* Forwards bytes to the caller, after the head. */
 void pwexi_pass(pw_exchange *x, const char *data, size_t n);
+
+/* Sends the head of the answer to the caller. */
 void pwexi_begin_answer(pw_exchange *x);
 
 #endif
--- a/packages/gateway/pwexseen.c
+++ b/packages/gateway/pwexseen.c
@@ -1,38 +1,39 @@
-/* pwexseen.c: what an answer says of the version of its target, while a service is rolled out:
-** failures of its own, and answers that take much longer than is usual on their route. */
+/* pwexseen.c: counts answers for or against the version of their target during a rollout. Failures of
+** the target, and answers much slower than the baseline of their route, count against it. */
 #include "pwexint.h"
 
 #include "pwversions.h"
 
-#define USUAL_SHARE 0.05 /* weight of the newest time */
-#define PIECES_LEAST 3   /* fewer pieces of a stream say nothing of its pace */
+#define BASELINE_WEIGHT 0.05 /* weight of the newest time in the smoothed one */
+#define CHUNKS_LEAST 3 /* a stream of fewer chunks has no measurable pace */
 
-static void note(const pw_exchange *x, int is_bad) {
+static void record(const pw_exchange *x, int is_bad) {
   if (x->t)
     pwversions_note(x->g->versions, x->t, x->route->name, is_bad);
 }
 
 void pwexi_seen_bad(const pw_exchange *x) {
-  note(x, 1);
+  record(x, 1);
 }
 
-/* Of a stream its pace, ms a piece: its first piece waits for what is not cached, and the
-** new version's targets have nothing cached at first. 0: nothing can be said. */
+/* Answer time, ms; of a stream its pace, ms per chunk. The first chunk of a stream does not count: it
+** waits for the uncached part of the prompt, and targets of a new version have nothing cached at
+** first. 0: unknown. */
 static double pace_of(const pw_exchange *x, int64_t now) {
-  if (!x->is_events)
+  if (!x->is_event_stream)
     return (double)pwexi_at_target(x, now);
-  int was_held_up = x->g->tcp.lag.lost_ms != x->sent_lost;
-  if (x->pieces < PIECES_LEAST || x->is_paused || was_held_up)
+  int was_stalled = x->g->tcp.lag.lost_ms != x->sent_stalled_ms;
+  if (x->nchunks < CHUNKS_LEAST || x->is_paused || was_stalled)
     return 0;
-  return (double)(x->passed_at - x->first_at) / (x->pieces - 1);
+  return (double)(x->forwarded_at - x->first_forwarded_at) / (x->nchunks - 1);
 }
 
 static int is_late(const pw_exchange *x) {
-  return x->is_events && x->route->goal_ms > 0 &&
-         pwexi_at_target(x, x->first_at) > x->route->goal_ms;
+  return x->is_event_stream && x->route->goal_ms > 0 &&
+         pwexi_at_target(x, x->first_forwarded_at) > x->route->goal_ms;
 }
 
-/* Every version is slow then. */
+/* Whether the target was in its cold start, in which every version is slow. */
 static int is_cold(const pw_exchange *x) {
   return x->t->cold.until > x->sent_at;
 }
@@ -42,8 +43,9 @@
   double ms = pace_of(x, now);
   if (!r || !x->t)
     return;
-  note(x, !is_cold(x) && (is_late(x) || pwcanary_is_slow(ms, r->usual_ms)));
+  record(x, !is_cold(x) && (is_late(x) || pwcanary_is_slow(ms, r->answer_ms)));
   if (ms <= 0 || x->t->side == PWFLEET_TO)
     return;
-  r->usual_ms += (r->usual_ms > 0 ? USUAL_SHARE : 1) * (ms - r->usual_ms);
+  r->answer_ms +=
+      (r->answer_ms > 0 ? BASELINE_WEIGHT : 1) * (ms - r->answer_ms);
 }
--- a/packages/gateway/pwexsend.c
+++ b/packages/gateway/pwexsend.c
@@ -1,20 +1,20 @@
-/* pwexsend.c: a request on its way: which target, over which connection. */
+/* pwexsend.c: dispatch of a request: picks a target and a connection, or refuses the request. */
 #include "pwexint.h"
 
 #include <stdio.h>
 
-/* A connection that rested longer than this carries no request that may not
-** run twice: the target may have closed it, and who read what is not known. */
-#define REST_ONCE_MS 800
-#define REST_ANY_MS 60000
+/* Longest idle time of a connection that is reused, ms. For requests that must not run twice it is
+** short: the target may have closed the connection, and then it is unknown whether it read the request. */
+#define IDLE_ONCE_MS 800
+#define IDLE_SAFE_MS 60000
 
 #define MS_PER_S 1000
 
-/* Connections to a target that a gateway may have, however many gateways there are. */
+/* Connections to one target that a gateway may always have, however many gateways there are. */
 #define CONNECTIONS_LEAST 2
 
 static void write_head(pw_exchange *x, pw_buf *out) {
-  const pw_h1 *m = &x->client->request;
+  const pw_h1 *m = &x->caller->request;
   pwbuf_fmt(out, "%s %.*s HTTP/1.1\r\n",
             http_method_str((enum http_method)m->parser.method), (int)m->nurl,
             m->url);
@@ -34,143 +34,150 @@
   if (x->nlast_event)
     f.last_event = (pw_span){x->last_event, x->nlast_event};
   x->g->dialect->write_forward(out, &f);
-  if (m->has_body || x->client->body.len)
-    pwbuf_fmt(out, "Content-Length: %zu\r\n", x->client->body.len);
+  if (m->has_body || x->caller->body.len)
+    pwbuf_fmt(out, "Content-Length: %zu\r\n", x->caller->body.len);
   pwbuf_add(out, "\r\n", 2);
 }
 
 int pwexi_send(pw_exchange *x) {
   pw_buf head = {0};
-  int64_t rest = x->route->kind == PWSITE_SAFE ? REST_ANY_MS : REST_ONCE_MS;
-  if (x->is_fresh_only)
-    rest = 0;
+  int64_t max_idle_ms =
+      x->route->kind == PWSITE_SAFE ? IDLE_SAFE_MS : IDLE_ONCE_MS;
+  if (x->needs_new_conn)
+    max_idle_ms = 0;
   write_head(x, &head);
   x->is_sent = 0;
   x->sent_at = pwclock_ms();
-  x->sent_lost = x->g->tcp.lag.lost_ms;
-  x->u = pwupconn_send(x->g, x->t, x, &head, &x->client->body,
-                       x->client->request.parser.method == HTTP_HEAD, rest);
+  x->sent_stalled_ms = x->g->tcp.lag.lost_ms;
+  x->u =
+      pwupconn_send(x->g, x->t, x, &head, &x->caller->body,
+                    x->caller->request.parser.method == HTTP_HEAD, max_idle_ms);
   pwbuf_free(&head);
   return x->u ? 0 : -1;
 }
 
-/* How many parts of a prompt others have, too; the last is its own. */
-static int shared_parts(const pw_ask *ask) {
+/* Number of leading parts that a prompt may share with others; its last part is its own. */
+static int shared_part_count(const pw_ask *ask) {
   return ask->nparts > 1 ? ask->nparts - 1 : ask->nparts;
 }
 
 static uint64_t prompt_key(const pw_ask *ask) {
-  int n = shared_parts(ask);
+  int n = shared_part_count(ask);
   return n ? ask->part[n - 1].id : 0;
 }
 
-/* Where a prompt was sent last that begins as this one does, the longest such beginning first;
-** 0: none is known. */
-static uint32_t find_beginning(const pw_gate *g, const pw_ask *ask, int64_t now,
-                               int64_t keep) {
-  for (int i = shared_parts(ask) - 2; i >= 0; i--) {
-    uint32_t at = pwwhere_find(g->where, ask->part[i].id, now, keep);
+/* Short hash of the target that has the longest known shorter prefix of the prompt cached; 0: none
+** is known. */
+static uint32_t find_prefix(const pw_gate *g, const pw_ask *ask, int64_t now,
+                            int64_t keep) {
+  for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
+    uint32_t at = pwwhere_find(g->affinity, ask->part[i].id, now, keep);
     if (at)
       return at;
   }
   return 0;
 }
 
-/* Its beginnings lie there from now on. Others are told of the first place that is known here:
-** any place will do. */
-static void note_beginnings(pw_gate *g, const pw_ask *ask, uint32_t target,
-                            int64_t now, int64_t keep) {
-  for (int i = shared_parts(ask) - 2; i >= 0; i--) {
+/* Records that the target has all prefixes of the prompt cached. Other gateways are told only of a prefix
+** that had no known target, since any one target will do. */
+static void note_prefixes(pw_gate *g, const pw_ask *ask, uint32_t target,
+                          int64_t now, int64_t keep) {
+  for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
     uint64_t key = ask->part[i].id;
-    if (!pwwhere_find(g->where, key, now, keep))
+    if (!pwwhere_find(g->affinity, key, now, keep))
       pwgossip_moved(g->gossip, key, target);
-    pwwhere_note(g->where, key, target, now);
+    pwwhere_note(g->affinity, key, target, now);
   }
 }
 
-/* Whether it has been nowhere yet: then it may still be refused at once. */
+/* Whether no target was tried yet, so that the request can still be refused outright. */
 static int is_new(const pw_exchange *x) {
   return !x->has_begun && !x->may_have_run && x->ntried == 0;
 }
 
-/* How long a request may wait in its target's own queue: in an engine's, which knows no
-** urgency, not at all; where work is short, so that news of free slots come late, half of
-** its goal. One that has been somewhere goes on where it can. */
-static double wait_at_target(const pw_exchange *x) {
+/* Longest wait in the target's own queue, ms. 0 at an engine, whose queue ignores urgency. Half of the
+** goal at a plain service, whose requests are so short that reports of free slots come late. A
+** request that was tried before may use half of the time that it has left. */
+static double max_target_wait_ms(const pw_exchange *x) {
   if (!is_new(x) || x->route->goal_ms <= 0)
     return (double)pwexi_time_left(x) / 2;
   return x->service->is_engine ? 0 : (double)x->route->goal_ms / 2;
 }
 
-/* This gateway's part of what all are asked for. */
-static double part_of_demand(const pw_exchange *x, int64_t now) {
-  double mine = pwshare_rate(&x->kept->share, now);
-  double all = mine + x->kept->others_rate;
+/* This gateway's share of the requests that all gateways get for the service. */
+static double demand_share(const pw_exchange *x, int64_t now) {
+  double mine = pwshare_rate(&x->service_state->share, now);
+  double all = mine + x->service_state->others_rate;
   return mine > 0 ? mine / all : 1.0 / pwlink_gateways(x->g->link);
 }
 
-/* A gateway's part of the places of a service. */
-typedef struct part {
-  double places;    /* that it may fill with requests as urgent as this one */
-  pw_fleet_sum sum; /* of all targets */
-} part;
+/* This gateway's quota of the slots of a service. */
+typedef struct quota {
+  double slots;     /* slots open to requests of this urgency */
+  pw_fleet_sum sum; /* over all targets */
+} quota;
 
-static part part_of(const pw_exchange *x, int64_t now) {
-  part p = {.sum = pwfleet_sum(x->g->fleet, x->service->name, x->side, now)};
-  double mine = pwshare_rate(&x->kept->share, now);
-  double kept = pwplaces_reserve(&x->kept->places, x->urgency, x->is_last);
-  if (!x->service->is_engine && p.sum.work_ms > 0) /* targets' queues, too */
-    p.sum.slots *= 1 + wait_at_target(x) / p.sum.work_ms;
-  p.places = pwshare_places(mine, mine + x->kept->others_rate, p.sum.slots,
-                            p.sum.inflight + p.sum.others, kept);
+static quota quota_of(const pw_exchange *x, int64_t now) {
+  quota p = {.sum = pwfleet_sum(x->g->fleet, x->service->name, x->side, now)};
+  double mine = pwshare_rate(&x->service_state->share, now);
+  double reserved = pwplaces_reserve(&x->service_state->places, x->urgency,
+                                     x->is_deprioritized);
+  if (!x->service->is_engine &&
+      p.sum.work_ms > 0) /* counts the targets' queues, too */
+    p.sum.slots *= 1 + max_target_wait_ms(x) / p.sum.work_ms;
+  p.slots =
+      pwshare_places(mine, mine + x->service_state->others_rate, p.sum.slots,
+                     p.sum.inflight + p.sum.others, reserved);
   return p;
 }
 
-/* Whether this gateway has its part already; a fraction of a place counts as often. */
-static int is_taken(const pw_exchange *x, const part *p) {
-  return p->sum.inflight + pwgate_draw(x->g) > p->places;
+/* Whether this gateway has used up its quota. A fraction of a slot is granted with that probability. */
+static int is_quota_used(const pw_exchange *x, const quota *p) {
+  return p->sum.inflight + pwgate_draw(x->g) > p->slots;
 }
 
-/* Whether it is refused whatever target is free. Places of engines that come free have one who
-** comes back: with these turned away as well a day at six times the load was worth 0.399 in place
-** of 0.419. A gateway's part of a plain service is a place or less, of which nothing can be
-** kept: at three times the load of 103 gateways 0.77 of their credit in place of 0.63. */
-static int is_turned_away(const pw_exchange *x, const part *p) {
-  int is_back = x->is_last && !x->service->is_engine &&
-                !pwplaces_may_return(&x->kept->places, pwgate_draw(x->g));
-  return is_back || is_taken(x, p);
+/* Whether the request is refused even if a target is free. Repeats to engines are not refused as
+** such, since they fill slots that come free: refusing them lowered the value of answers at six
+** times the load from 0.419 to 0.399. At a plain service the quota is one slot or less, of which none can
+** be reserved: refusing repeats raised the value of answers at three times the load on 103 gateways
+** from 0.63 to 0.77. */
+static int must_refuse(const pw_exchange *x, const quota *p) {
+  int is_refused_repeat =
+      x->is_deprioritized && !x->service->is_engine &&
+      !pwplaces_may_return(&x->service_state->places, pwgate_draw(x->g));
+  return is_refused_repeat || is_quota_used(x, p);
 }
 
-/* The connections that this gateway may have to one target: its part of those that a
-** target takes. */
-static int connections_of(const pw_exchange *x) {
+/* Connections that this gateway may have to one target: its share of those that a
+** target accepts. 0: no limit. */
+static int connection_limit(const pw_exchange *x) {
   int all = x->service->max_conns;
   int mine = all / pwlink_gateways(x->g->link);
   return all > 0 && mine < CONNECTIONS_LEAST ? CONNECTIONS_LEAST : mine;
 }
 
-/* Whether targets that turn requests away are left to others. Where places are short, what they do take is
-** needed, and retries are not what is lacking. */
-static int spares_retries(const pw_exchange *x, int64_t now) {
+/* Whether to avoid targets that reject requests, because the retry budget is scarce. Not when slots are
+** short: then the requests that such targets do accept are needed more than retries. */
+static int avoids_rejections(const pw_exchange *x, int64_t now) {
   pw_gate *g = x->g;
-  return pwplaces_share(&x->kept->places) > PWEX_CALM_SHARE &&
-         pwretries_is_scarce(&x->kept->retries, pwlink_gateways(g->link),
-                             pwgate_draw(g), now);
+  return pwplaces_share(&x->service_state->places) > PWEX_CALM_SHARE &&
+         pwretries_is_scarce(&x->service_state->retries,
+                             pwlink_gateways(g->link), pwgate_draw(g), now);
 }
 
-/* How far a target may be loaded: more where few requests come to it before the other gateways
-** have told of them. */
-static pw_pick_bound bound_of(const pw_exchange *x, const part *p) {
+/* Load bound of one target. It is higher where few requests reach a target between two load reports of the
+** other gateways. */
+static pw_pick_bound bound_of(const pw_exchange *x, const quota *p) {
   double times = x->g->p->set->gateway_load_times;
   double a_second =
-      p->sum.targets > 0 ? x->kept->others_rate / p->sum.targets : 0;
+      p->sum.targets > 0 ? x->service_state->others_rate / p->sum.targets : 0;
   return (pw_pick_bound){PW_GW_BOUND_SHARE * times,
                          pwpick_extra(a_second, p->sum.others_age_ms),
                          PW_GW_BOUND_ALL_SHARE * times, PW_GW_BOUND_ALL_EXTRA};
 }
 
-/* Fills x->t (held) and x->holder; 0 when there is no target. */
-static int pick(pw_exchange *x, const part *p) {
+/* Fills x->t (reference taken) and x->holder; 0: there is no target. */
+static int pick(pw_exchange *x, const quota *p) {
   pw_gate *g = x->g;
   int64_t now = pwclock_ms();
   int is_sticky = x->route->is_sticky && x->ask.nparts > 0;
@@ -179,19 +186,19 @@
   pw_fleet_ask ask = {
       .service = x->service->name,
       .side = x->side,
-      .how = g->how,
+      .how = g->pick_how,
       .is_sticky = is_sticky,
       .key = key,
       .stays = is_new(x) && x->service->is_engine,
-      .last = is_sticky ? pwwhere_find(g->where, key, now, keep) : 0,
-      .beginning = is_sticky ? find_beginning(g, &x->ask, now, keep) : 0,
-      .wait_ms = wait_at_target(x),
+      .last = is_sticky ? pwwhere_find(g->affinity, key, now, keep) : 0,
+      .beginning = is_sticky ? find_prefix(g, &x->ask, now, keep) : 0,
+      .wait_ms = max_target_wait_ms(x),
       .draw = pwgate_draw(g),
       .bound = bound_of(x, p),
       .cold = {x->service->cold_ms, x->service->cold_per_s},
-      .part = part_of_demand(x, now),
-      .conns = connections_of(x),
-      .spares_retries = spares_retries(x, now),
+      .part = demand_share(x, now),
+      .conns = connection_limit(x),
+      .spares_retries = avoids_rejections(x, now),
       .tried = x->tried,
       .ntried = x->ntried};
   pw_fleet_picked got = pwfleet_pick(g->fleet, &ask, now);
@@ -200,43 +207,45 @@
   if (!got.target)
     return 0;
   if (is_sticky) {
-    pwwhere_note(g->where, key, got.target->short_hash, now);
-    note_beginnings(g, &x->ask, got.target->short_hash, now, keep);
+    pwwhere_note(g->affinity, key, got.target->short_hash, now);
+    note_prefixes(g, &x->ask, got.target->short_hash, now, keep);
     if (!got.is_home)
       pwgossip_moved(g->gossip, key, got.target->short_hash);
   }
   return 1;
 }
 
-/* The gateway has its part of the places, or all targets have as much as they may have. */
-static void refuse_full(pw_exchange *x, const part *p) {
+/* Refuses a request because the quota of this gateway or the load bound of all targets is used up. */
+static void refuse_full(pw_exchange *x, const quota *p) {
   char why[160];
-  snprintf(why, sizeof why,
-           "all places are taken: urgency %d%s, %.0f in 100 get one; here %.0f "
-           "of %.1f, of all %.0f of %.0f",
-           x->urgency, x->is_last ? " after others" : "",
-           100 * pwplaces_share(&x->kept->places), p->sum.inflight, p->places,
-           p->sum.inflight + p->sum.others, p->sum.slots);
+  snprintf(
+      why, sizeof why,
+      "no slot is free: urgency %d%s, %.0f%% of requests get one; in flight "
+      "%.0f of %.1f here, %.0f of %.0f in all",
+      x->urgency, x->is_deprioritized ? " (repeat)" : "",
+      100 * pwplaces_share(&x->service_state->places), p->sum.inflight,
+      p->slots, p->sum.inflight + p->sum.others, p->sum.slots);
   pwcount_add(x->g->p->counters, PWC_GW_FULL, 1);
-  /* Its caller comes back over a new connection, unless that would cost it what it has sent behind. */
-  x->client->close_next = !pwconn_has_more(x->client);
+  /* Closes the connection so that the caller may come back at another gateway, unless that would lose
+  ** requests that it has pipelined behind this one. */
+  x->caller->close_next = !pwconn_has_more(x->caller);
   pwexi_refuse(
       x, PW_E_BUSY, why,
-      pwplaces_retry(pwexi_time_left(x), x->known_after, pwgate_draw(x->g)));
+      pwplaces_retry(pwexi_time_left(x), x->retry_known_ms, pwgate_draw(x->g)));
 }
 
-/* Nobody can be asked: its caller is told when the first one may be. */
-static void refuse_unserved(pw_exchange *x, int64_t now) {
+/* Refuses a request because no target is usable; the caller is told when the first one will be. */
+static void refuse_no_target(pw_exchange *x, int64_t now) {
   int64_t left = pwfleet_held_off(x->g->fleet, x->service->name, now);
   if (left > 0)
-    pwexi_refuse(x, PW_E_HELD_OFF, "all targets have asked to be left alone",
-                 left);
+    pwexi_refuse(x, PW_E_HELD_OFF,
+                 "all targets of the service have asked for a hold-off", left);
   else
-    pwexi_refuse(x, PW_E_NO_TARGET, "no target of the service is known",
+    pwexi_refuse(x, PW_E_NO_TARGET, "no usable target of the service is known",
                  PWEX_RETRY_NO_TARGET_MS);
 }
 
-static void note_placed(pw_exchange *x) {
+static void log_dispatched(pw_exchange *x) {
   const pw_target *t = x->t;
   if (x->ntried == 1)
     pwexi_observe(x, PWSTAGE_QUEUE, x->sent_at - x->arrived);
@@ -244,26 +253,27 @@
              "target=%s load=%d+%d n=%d key=%llx fetch=%s", t->id, t->inflight,
              t->others, x->ntried, (unsigned long long)prompt_key(&x->ask),
              x->holder ? x->holder->id : "-");
-  x->holder = NULL; /* not held */
+  x->holder = NULL; /* no reference was taken */
 }
 
-/* Sends it to a target that has a place; 0: there is none. */
-static int place_now(pw_exchange *x, const part *p) {
+/* Sends the request to a target that has a free slot; 0: there is none. */
+static int dispatch_now(pw_exchange *x, const quota *p) {
   while (pwexi_time_left(x) > 0 && x->ntried < PWEX_TRIED_MAX && pick(x, p)) {
-    x->is_fresh_only = 0;
+    x->needs_new_conn = 0;
     x->t->inflight++;
     x->tried[x->ntried++] = pwfleet_hold(x->t);
     pwcount_add(x->g->p->counters, PWC_ATTEMPTS, 1);
     if (pwexi_send(x) == 0) {
-      note_placed(x);
+      log_dispatched(x);
       return 1;
     }
-    pwexi_let_go(x); /* no descriptor to be had */
+    pwexi_let_go(x); /* out of file descriptors */
   }
   return 0;
 }
 
-/* A request that the new version failed goes back to the old one. */
+/* Chooses the version during a rollout. A request that failed at the new version is retried at the old
+** one. */
 static void choose_side(pw_exchange *x) {
   if (x->ntried == 0)
     x->side = pwfleet_side(x->g->fleet, x->service->name, pwgate_draw(x->g));
@@ -271,34 +281,38 @@
     x->side = PWFLEET_FROM;
 }
 
-/* Sends it to a target of its side that has a place, if it gets one; 0: it does not. */
-static int try_side(pw_exchange *x, part *p, int was_new, int64_t now) {
-  *p = part_of(x, now);
-  return !(was_new && is_turned_away(x, p)) && place_now(x, p);
+/* Sends the request to a target of the chosen version if quota and slots allow it; 0: they do not. */
+static int try_side(pw_exchange *x, quota *p, int is_first_attempt,
+                    int64_t now) {
+  *p = quota_of(x, now);
+  return !(is_first_attempt && must_refuse(x, p)) && dispatch_now(x, p);
 }
 
 void pwexi_place(pw_exchange *x) {
   int64_t now = pwclock_ms();
-  int was_new = is_new(x);
+  int is_first_attempt = is_new(x);
   if (pwexi_end_quarantined(x, now))
     return;
-  if (was_new)
-    pwshare_asked(&x->kept->share, now);
-  part p;
+  if (is_first_attempt)
+    pwshare_asked(&x->service_state->share, now);
+  quota p;
   choose_side(x);
-  int is_placed = try_side(x, &p, was_new, now);
-  if (!is_placed && x->side == PWFLEET_TO) {
+  int is_dispatched = try_side(x, &p, is_first_attempt, now);
+  if (!is_dispatched && x->side == PWFLEET_TO) {
     x->side = PWFLEET_FROM;
-    is_placed = try_side(x, &p, was_new, now);
+    is_dispatched = try_side(x, &p, is_first_attempt, now);
   }
-  if (was_new)
-    pwplaces_asked(&x->kept->places, x->urgency, x->is_last, is_placed, now);
-  if (is_placed)
+  if (is_first_attempt)
+    pwplaces_asked(&x->service_state->places, x->urgency, x->is_deprioritized,
+                   is_dispatched, now);
+  if (is_dispatched)
     return;
   if (x->has_begun || x->may_have_run)
-    pwexi_give_up(x, PW_E_UNKNOWN, "no other target", 0);
+    pwexi_give_up(
+        x, PW_E_UNKNOWN,
+        "no other target is available after an attempt that may have run", 0);
   else if (pwfleet_usable(x->g->fleet, x->service->name, now) == 0)
-    refuse_unserved(x, now);
+    refuse_no_target(x, now);
   else
     refuse_full(x, &p);
 }
--- a/packages/gateway/pwfollow.c
+++ b/packages/gateway/pwfollow.c
@@ -1,20 +1,21 @@
-/* pwfollow.c: the configuration of a gateway, from being told of to being in force. */
+/* pwfollow.c: fetches newer configurations of a gateway, reads them and applies them. */
 #include "pwlinkint.h"
 
-#define ASK_AGAIN_MS 300 /* a document that did not come is asked for again */
+#define ASK_AGAIN_MS 300 /* a document that did not come is requested again */
 
-/* A newer document is asked of the primary; of another one when the primary has not told
-** of it by then, and of the next after as long again, ms. */
+/* A newer document is requested from the primary. If the primary has not reported it after this
+** time, ms, it is requested from another control instance, and from the next one after each further such
+** time. */
 #define ASK_OTHER_MS 1000
 
-/* --- asking for it --- */
+/* --- requests --- */
 
 static int has_newer(const pw_link *l, const contact *c, int64_t now) {
-  return c->site > pwdoc_version(l->doc) && pwlink_is_fresh(c, now);
+  return c->config_version > pwdoc_version(l->doc) && pwlink_is_fresh(c, now);
 }
 
-/* The control instance of that place in this gateway's order among those that have a
-** newer configuration; the primary comes first. NULL: there are not so many. */
+/* The n-th control instance, counted from 0, among those that have a newer configuration: the primary,
+** then the others in this gateway's order. NULL: there are fewer. */
 static contact *nth_newer(const pw_link *l, int n, int64_t now) {
   contact *last = NULL;
   if (l->primary && has_newer(l, l->primary, now) && n-- == 0)
@@ -31,10 +32,9 @@
   return last;
 }
 
-/* Asks one control instance for the newest configuration. All have it: were each
-** asked, 103 gateways got 515 copies of 35 KB, which kept the links of five control
-** instances busy for 5 s; votes and leases waited behind them (counted by
-** document_sent_bytes_total). */
+/* Requests the newest configuration from one control instance. If each one were asked, 103 gateways
+** would get 515 copies of 35 KB, which kept the links of five control instances busy for 5 s, with
+** votes and leases queued behind them. */
 void pwfollow_ask(pw_link *l, int64_t now) {
   int behind = 0;
   for (const contact *c = l->contacts; c; c = c->next)
@@ -45,28 +45,29 @@
   }
   if (!l->behind_at)
     l->behind_at = now;
-  if (now - l->wanted_at < ASK_AGAIN_MS)
+  if (now - l->requested_at < ASK_AGAIN_MS)
     return;
   int turn = (int)((now - l->behind_at) / ASK_OTHER_MS);
-  int told = l->primary && has_newer(l, l->primary, now);
-  if (l->primary && !told && pwlink_is_fresh(l->primary, now) && turn-- == 0)
+  int primary_has_newer = l->primary && has_newer(l, l->primary, now);
+  if (l->primary && !primary_has_newer && pwlink_is_fresh(l->primary, now) &&
+      turn-- == 0)
     return;
-  l->wanted_at = now;
-  l->wanted_of = nth_newer(l, turn % behind, now);
-  pwlink_send_watch(l, l->wanted_of, 1, now);
+  l->requested_at = now;
+  l->requested_from = nth_newer(l, turn % behind, now);
+  pwlink_send_watch(l, l->requested_from, 1, now);
 }
 
-/* --- taking it --- */
+/* --- reading and applying --- */
 
 void pwfollow_end(pw_link *l) {
   l->g->dialect->end_site(l->reading);
   l->reading = NULL;
-  pwsite_drop(l->before);
-  l->before = NULL;
+  pwsite_drop(l->base_site);
+  l->base_site = NULL;
 }
 
-/* Reads on in the document that came: a step a turn of the loop, so that streams go
-** on meanwhile. One that came while another was read is next. */
+/* Reads the received document, one step in each iteration of the event loop, so that streams are
+** forwarded meanwhile. A document received while another one is read is read next. */
 void pwfollow_read(pw_link *l) {
   pw_gate *g = l->g;
   pw_site *site;
@@ -74,10 +75,10 @@
   if (!l->reading) {
     size_t n;
     const char *text = pwdoc_text(l->doc, &n);
-    l->before = g->site ? pwsite_hold(g->site) : NULL;
+    l->base_site = g->site ? pwsite_hold(g->site) : NULL;
     l->read_version = pwdoc_version(l->doc);
     l->read_bytes = n;
-    l->reading = g->dialect->begin_site(text, n, l->before);
+    l->reading = g->dialect->begin_site(text, n, l->base_site);
   }
   int routes = pwsite_routes_a_step(l->read_bytes, !g->site);
   pw_code rc =
@@ -92,20 +93,20 @@
           why);
 }
 
-static void drop_helper(pw_link *l) {
-  if (l->helper[0])
-    pwwire_hang_up(l->sock, l->helper);
-  l->helper[0] = 0;
+static void close_relay(pw_link *l) {
+  if (l->relay_addr[0])
+    pwwire_hang_up(l->sock, l->relay_addr);
+  l->relay_addr[0] = 0;
 }
 
-/* A gateway that holds the document is asked for it; what it sends is as good as what control
-** sends, since a version is written once, and only what is committed is ever sent. */
-static void ask_helper(pw_link *l, const char *addr) {
+/* Requests the document from a gateway that has it. Its copy is as good as control's, since a version
+** never changes and only committed versions are ever sent. */
+static void fetch_from_relay(pw_link *l, const char *addr) {
   Pw__Watch m = PW__WATCH__INIT;
   pw_peer peer;
-  drop_helper(l);
-  pw_copy(l->helper, sizeof l->helper, addr);
-  pwwire_dial(l->sock, l->helper, &peer);
+  close_relay(l);
+  pw_copy(l->relay_addr, sizeof l->relay_addr, addr);
+  pwwire_dial(l->sock, l->relay_addr, &peer);
   m.site = pwdoc_version(l->doc);
   m.want = 1;
   Pw__Envelope e = PW_ENVELOPE(WATCH, watch, &m);
@@ -116,19 +117,20 @@
   uint64_t before = pwdoc_version(l->doc);
   if (d->ask[0]) {
     if (d->version > before)
-      ask_helper(l, d->ask);
+      fetch_from_relay(l, d->ask);
     return;
   }
   pw_code rc = pwdoc_take(l->doc, d);
-  if (rc == PW_E_STALE) { /* its base is not kept here: the whole, please */
-    l->wanted_at = 0;
+  /* The base of the difference is not held here: the full document is needed. */
+  if (rc == PW_E_STALE) {
+    l->requested_at = 0;
     pwdoc_clear(l->doc);
   }
   if (rc != PW_OK || pwdoc_version(l->doc) == before)
     return;
-  l->site_at = now;
-  drop_helper(l);
-  if (l->wanted_of) /* it may name this one to others now */
-    pwlink_send_watch(l, l->wanted_of, 0, now);
+  l->config_at = now;
+  close_relay(l);
+  if (l->requested_from) /* it may refer other gateways to this one now */
+    pwlink_send_watch(l, l->requested_from, 0, now);
   pwfollow_read(l);
 }
--- a/packages/gateway/pwgate.c
+++ b/packages/gateway/pwgate.c
@@ -1,19 +1,19 @@
-/* pwgate.c: what all files of the gateway use of its state. */
+/* pwgate.c: shared functions on the state of a gateway. */
 #include "pwgate.h"
 
 #include <stdlib.h>
 
 void pwgate_later(pw_gate *g, void *p) {
-  if (g->nlater == g->later_cap) {
-    g->later_cap = g->later_cap ? g->later_cap * 2 : 64;
-    g->later = realloc(g->later, sizeof(void *) * g->later_cap);
-    if (!g->later)
+  if (g->nto_free == g->to_free_cap) {
+    g->to_free_cap = g->to_free_cap ? g->to_free_cap * 2 : 64;
+    g->to_free = realloc(g->to_free, sizeof(void *) * g->to_free_cap);
+    if (!g->to_free)
       abort();
   }
-  g->later[g->nlater++] = p;
+  g->to_free[g->nto_free++] = p;
 }
 
-/* xorshift64*; nothing secret hangs on it. */
+/* xorshift64*. Not cryptographically secure; used for load spreading only. */
 double pwgate_draw(pw_gate *g) {
   g->random ^= g->random >> 12;
   g->random ^= g->random << 25;
@@ -22,7 +22,7 @@
          9007199254740992.0;
 }
 
-void pwgate_note_suspect(pw_gate *g, uint64_t sign, pw_quar_news news,
+void pwgate_note_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_news news,
                          const char *how) {
   pw_quarantine *q = g->quarantine;
   pwcount_set(g->p->counters, PWC_ENDED_UNDER, pwquar_total(q));
@@ -31,19 +31,22 @@
     pwtrace_line(g->trace, PWTRACE_STATE, pwclock_ms(),
                  news == PWQUAR_BEGUN ? "quarantined" : "released",
                  "sign=%016llx ends=%d how=%s in_quarantine=%d",
-                 (unsigned long long)sign, pwquar_ends(q, sign), how,
-                 pwquar_count(q));
+                 (unsigned long long)fingerprint, pwquar_ends(q, fingerprint),
+                 how, pwquar_count(q));
 }
 
 void pwgate_note_silent(pw_gate *g, const char *id, int64_t now) {
   const pw_target *t = pwfleet_find(g->fleet, id);
-  uint64_t sign;
-  while (t && (sign = pwdark_take(&g->dark, t->start_hash, now)) != 0) {
-    pw_quar_news news = pwquar_ended(g->quarantine, sign, t->start_hash, now);
+  uint64_t fingerprint;
+  while (t && (fingerprint =
+                   pwdark_take(&g->unresponsive, t->start_hash, now)) != 0) {
+    pw_quar_news news =
+        pwquar_ended(g->quarantine, fingerprint, t->start_hash, now);
     pwtrace_line(g->trace, PWTRACE_STATE, now, "ended-under",
                  "target=%s sign=%016llx dark=1 ends=%d", id,
-                 (unsigned long long)sign, pwquar_ends(g->quarantine, sign));
-    pwgate_note_suspect(g, sign, news, "seen");
+                 (unsigned long long)fingerprint,
+                 pwquar_ends(g->quarantine, fingerprint));
+    pwgate_note_suspect(g, fingerprint, news, "seen");
   }
 }
 
@@ -56,10 +59,10 @@
   pwsite_drop(g->site);
   g->site = site;
   const pw_site_limits *l = pwsite_limits(site);
-  g->front.limits = (pw_conn_limits){.header_bytes = (size_t)l->header_bytes,
-                                     .body_bytes = (size_t)l->body_bytes,
-                                     .header_ms = l->header_timeout_ms,
-                                     .idle_ms = l->idle_timeout_ms};
+  g->callers.limits = (pw_conn_limits){.header_bytes = (size_t)l->header_bytes,
+                                       .body_bytes = (size_t)l->body_bytes,
+                                       .header_ms = l->header_timeout_ms,
+                                       .idle_ms = l->idle_timeout_ms};
   pwcount_set(g->p->counters, PWC_GW_SITE, (int64_t)version);
   pwtrace_line(g->trace, PWTRACE_STATE, pwclock_ms(), "configuration",
                "version=%llu", (unsigned long long)version);
--- a/packages/gateway/pwgate.h
+++ b/packages/gateway/pwgate.h
@@ -1,8 +1,8 @@
-/* pwgate.h: state of a gateway, for the files of this package alone.
+/* pwgate.h: state of a gateway, private to this package.
 **
-** One thread and one event loop own all of it. A caller's connection (pwconn)
-** carries one exchange (pwexchange) at a time, which goes to targets (pwfleet)
-** over kept connections (pwupconn). */
+** One thread with one event loop owns all of it. A caller's connection (pwconn)
+** carries one exchange (pwexchange) at a time, which is sent to targets (pwfleet)
+** over pooled connections (pwupconn). */
 #ifndef PWGATE_H
 #define PWGATE_H
 
@@ -29,23 +29,23 @@
 typedef struct pw_gossip pw_gossip;
 typedef struct pw_versions pw_versions;
 
-/* What a gateway keeps of one service. */
+/* Per-service state. */
 typedef struct pw_gate_service {
   char name[PW_NAME_MAX];
   pw_retries retries;
-  pw_places places;
-  pw_share share;     /* of what all gateways are asked for ... */
-  double others_rate; /* ... the others, as they told, requests a second */
-  pw_surge *surge;    /* of workspaces */
+  pw_places places;   /* admission by urgency */
+  pw_share share;     /* request rate at this gateway */
+  double others_rate; /* request rate at all other gateways, per second */
+  pw_surge *surge;    /* load spikes of workspaces */
   struct pw_gate_service *next;
 } pw_gate_service;
 
-/* And of one route. */
+/* Per-route state. */
 typedef struct pw_gate_route {
   char name[PW_NAME_MAX];
-  pw_usual usual; /* time that its callers give a request */
-  double
-      usual_ms; /* smoothed time of an answer, or between pieces of a stream; 0: not known */
+  pw_usual baseline; /* of the deadlines that callers send */
+  /* Smoothed answer time, or time per chunk of a stream. 0: unknown. */
+  double answer_ms;
   UT_hash_handle hh;
 } pw_gate_route;
 
@@ -54,135 +54,141 @@
   struct ev_loop *ev;
   pw_tcp_loop tcp;
   const pw_dialect *dialect;
-  pw_site *site; /* in force here; NULL: none is known yet */
+  pw_site *site; /* configuration in force; NULL: none received yet */
   pw_fleet *fleet;
-  pw_where *where; /* prompts, by the id of their last shared part */
+  /* Which target has a prompt cached, by the id of its last shared part. */
+  pw_where *affinity;
   pw_link *link;
   pw_gossip *gossip;
   pw_trace *trace;
   pw_stages *stages;
-  pw_quarantine *quarantine; /* requests under which targets ended ... */
-  pw_dark dark; /* ... and those of which it is not known whether theirs did */
-  pw_versions *versions; /* services that are rolled out */
+  pw_quarantine *quarantine; /* requests whose targets crashed */
+  /* Requests whose target is unresponsive but not yet known to have crashed. */
+  pw_dark unresponsive;
+  pw_versions *versions; /* services with a rollout in progress */
   pw_gate_service *services;
   pw_gate_route *routes;
-  pw_conns front;   /* callers */
-  pw_conns ready;   /* the platform, which asks for readiness */
-  pw_conns metrics; /* and at an address of its own */
+  pw_conns callers;
+  pw_conns ready;   /* readiness checks by the platform */
+  pw_conns metrics; /* the separate metrics address, if one is set */
   int nexchanges;
-  pw_exchange *awaiting; /* a configuration, the longest first ... */
+  pw_exchange *awaiting; /* wait for a configuration, oldest first */
   int nawaiting;
-  size_t awaiting_bytes; /* ... and their bodies */
+  size_t awaiting_bytes; /* body bytes of the waiting requests */
   uint64_t random;
   int64_t started_at;
-  int64_t stop_at; /* when the planned stop began, ms; 0: it has not */
-  pw_pick_how how; /* targets are picked */
+  int64_t stop_at;      /* start of the planned stop, ms; 0: not stopping */
+  pw_pick_how pick_how; /* how targets are picked */
   int is_ready;
   int64_t ticked_at, swept_at, checked_at;
-  pw_hold hold; /* what each caller and target may have held for it */
+  pw_hold hold; /* current buffer limits per caller and target */
   ev_timer tick;
   ev_prepare reap;
-  void **later; /* memory that goes at the loop's next turn */
-  size_t nlater, later_cap;
+  void **to_free; /* memory to free at the next iteration of the event loop */
+  size_t nto_free, to_free_cap;
 };
 
 /* --- pwgate.c --- */
 
-/* Frees memory when no call can refer to it any more. */
+/* Frees memory at the next iteration of the event loop, when no callback can
+** refer to it any more. */
 void pwgate_later(pw_gate *g, void *p);
 
-/* Uniform in [0, 1). */
+/* Random number, uniform in [0, 1). */
 double pwgate_draw(pw_gate *g);
 
 /* Whether requests can be sent anywhere: a configuration and targets are known. */
 int pwgate_may_serve(pw_gate *g);
 
-/* Tells in a line what has become known of a request under which targets ended; `how`:
-** "seen" here, "told" by another gateway, or "kept" by a control instance. */
-void pwgate_note_suspect(pw_gate *g, uint64_t sign, pw_quar_news news,
+/* Updates the counters and logs when a request enters or leaves quarantine. `how` is the
+** source of the news: "seen" here, "told" by another gateway, or "kept" by a control instance. */
+void pwgate_note_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_news news,
                          const char *how);
 
-/* Control has missed a target's heartbeats, or heard that it ended: what it had when it went dark is
-** held against the requests. */
+/* Control reports a target silent or gone: the requests that it had when it became unresponsive
+** are counted as requests whose target crashed. */
 void pwgate_note_silent(pw_gate *g, const char *id, int64_t now);
 
-/* A newer configuration is in force from now on. */
+/* Puts a newer configuration into force; drops one that is not newer. */
 void pwgate_adopt(pw_gate *g, pw_site *site);
 
 /* --- pwkept.c --- */
 
-/* What is kept of a service, and of a route; NULL: too many are. */
+/* State of a service or route, created on first use. NULL: too many routes are tracked. */
 pw_gate_service *pwgate_service(pw_gate *g, const char *name);
 pw_gate_route *pwgate_route(pw_gate *g, const char *name);
 
-/* Frees all that is kept. */
+/* Frees the state of all services and routes. */
 void pwgate_forget(pw_gate *g);
 
 /* --- pwexchange.c --- */
 
-/* Begins the exchange of a whole request. */
+/* Begins the exchange of a completely received request. */
 void pwexchange_begin(pw_conn *c);
 
-/* Begins those that waited for a configuration. */
+/* Begins the requests that waited for a configuration. */
 void pwexchange_go_on(pw_gate *g);
 
-/* Ends requests whose time is over, and has those go on elsewhere whose target went dark. */
+/* Ends requests whose time is over, and retries elsewhere those whose target is unresponsive. */
 void pwexchange_check(pw_gate *g, int64_t now);
 
-/* The caller has gone. */
+/* The caller has disconnected. */
 void pwexchange_abandon(void *exchange);
 
-/* The planned stop is over: what is not answered yet is broken off. */
+/* Breaks off an unanswered request at the end of a planned stop. */
 void pwexchange_stop(pw_exchange *x);
 
-/* Bytes that are held for it beside its connection's. */
+/* Bytes buffered for the exchange, beside those of its caller's connection. */
 size_t pwexchange_held(const pw_exchange *x);
 
-/* The caller has taken all that was written. */
+/* The caller has read all that was written to it. */
 void pwexchange_resume(void *exchange);
 
-/* Whether an answer belongs to another, earlier request; fills *told. */
+/* Whether an answer belongs to an earlier request of the connection. Fills *told. */
 int pwexchange_is_surplus(const pw_exchange *x, const pw_h1 *m, pw_told *told);
 
-/* From its connection to the target: */
+/* Events of the connection to the target: the request was sent; the answer's head, a piece of its
+** body and its end were received. */
 void pwexchange_sent(pw_exchange *x);
 void pwexchange_head(pw_exchange *x, const pw_h1 *m, const pw_told *told);
 void pwexchange_body(pw_exchange *x, const char *data, size_t n);
 void pwexchange_whole(pw_exchange *x);
 
-/* The connection failed; `unused`: it had rested before and the target sent
+/* The connection failed. `unused`: it was reused from the pool and the target has sent
 ** nothing over it since. */
 void pwexchange_failed(pw_exchange *x, pw_tcp_end how, int unused);
 
 /* --- pwunderway.c --- */
 
-/* Answers with the requests under way, the oldest first. */
+/* Answers with a list of the requests in flight, the oldest first. */
 void pwunderway_answer(pw_gate *g, pw_conn *c);
 
 /* --- pwupconn.c --- */
 
-/* Sends head and body to the target of an exchange, over a kept connection
-** that has rested for at most `rest_ms` or a new one. NULL: none to be had. */
+/* Sends head and body to the target of an exchange, over a pooled connection
+** that was idle for at most `max_idle_ms` or over a new one. NULL: no connection can be made. */
 pw_upconn *pwupconn_send(pw_gate *g, pw_target *t, pw_exchange *x, pw_buf *head,
-                         const pw_buf *body, int is_head_only, int64_t rest_ms);
+                         const pw_buf *body, int is_head_only,
+                         int64_t max_idle_ms);
 
-/* Gives up the answer that is due: the connection is reset. */
+/* Cancels the pending answer by resetting the connection. */
 void pwupconn_cancel(pw_upconn *u);
 
-/* Bytes that the target has not taken. */
+/* Bytes buffered because the target has not read them yet. */
 size_t pwupconn_held(const pw_upconn *u);
 
-/* Whether more of the answer has come, or its end. */
+/* Whether unread bytes of the answer, or its end, have arrived. */
 int pwupconn_is_readable(const pw_upconn *u);
 
 void pwupconn_pause(pw_upconn *u, int paused);
 
-/* Closes connections that have rested long, and all to targets that went. */
+/* Closes connections that were idle for too long, and all idle ones to a target that is gone. */
 void pwupconn_sweep(pw_target *t, int64_t now);
 
 /* --- pwhint.c --- */
 
-/* Heeds what a target says of itself in an answer, whichever request that is for. */
+/* Applies what a target reports of itself in the headers of any answer: that it leaves, or that it
+** asks for a hold-off. */
 void pwhint_heed(pw_gate *g, pw_target *t, int status, const pw_told *told);
 
 /* --- pwlink.c: control instances --- */
@@ -191,11 +197,11 @@
 void pwlink_free(pw_link *l);
 void pwlink_tick(pw_link *l, int64_t now);
 
-/* Whether a control instance that is in touch with its leader has confirmed
-** the configuration in force here; or none could be asked for long. */
+/* Whether the configuration in force is the newest: confirmed by a control instance that has
+** contact with its leader, or no such instance could be reached for a while. */
 int pwlink_is_current(const pw_link *l, int64_t now);
 
-/* Gateways known, this one included. */
+/* Number of known gateways, this one included. */
 int pwlink_gateways(const pw_link *l);
 
 /* --- pwgossip.c: the other gateways --- */
@@ -203,13 +209,13 @@
 pw_gossip *pwgossip_new(pw_gate *g, pw_buf *err);
 void pwgossip_free(pw_gossip *s);
 
-/* The addresses of the gateways, as control tells them; "IP:PORT" each. */
+/* Sets the addresses of all gateways, "IP:PORT" each, as received from control. */
 void pwgossip_peers(pw_gossip *s, char **address, size_t n);
 
-/* A prompt was sent where the others would not look for it. */
+/* Queues an announcement that a prompt was sent to a target other than its home. */
 void pwgossip_moved(pw_gossip *s, uint64_t key, uint32_t target);
 
-/* Tells the others, and adds up what they told. */
+/* Sends this gateway's loads to the others and sums up the loads received. */
 void pwgossip_tick(pw_gossip *s, int64_t now);
 
 #endif
--- a/packages/gateway/pwgateway.c
+++ b/packages/gateway/pwgateway.c
@@ -1,4 +1,4 @@
-/* pwgateway.c: the gateway role: its loop, readiness and planned stop. */
+/* pwgateway.c: the gateway role: event loop, readiness and planned stop. */
 #define _GNU_SOURCE
 #include "pwgateway.h"
 
@@ -19,28 +19,28 @@
 
 #define TICK_S 0.02
 #define TICK_MS 20
-#define TURN_MS 100 /* a longer turn of the loop was held up */
+#define STALL_MS 100 /* a longer loop iteration counts as a stall */
 #define US_PER_MS 1000
 #define SWEEP_MS 250
-#define LAG_TOLD_MS 100 /* a lag of the loop that is worth a line */
+#define LAG_LOGGED_MS 100 /* smallest lag that is logged */
 #define CHECK_MS 100
 #define MS_PER_S 1000
 #define BYTES_PER_MB (1024.0 * 1024)
-#define HOLD_SHARE 0.5 /* of the process's memory */
+#define BUFFER_SHARE 0.5 /* of the process's memory, for buffers */
 
-/* The part of its descriptors that a gateway has for callers. */
+/* Share of the file descriptors for connections of callers. */
 #define CALLERS_SHARE 0.6
 
-/* A planned stop, as shares of its grace: callers may still come by then (the
-** balancer asks for readiness twice before it turns away); requests that are
-** not answered by then are broken off. */
+/* A planned stop, ms. New callers are accepted for STOP_LISTEN_MS, at most half of the grace period: the
+** balancer checks readiness twice before it stops sending them. Unanswered requests are broken off
+** STOP_MARGIN_MS before the end of the grace period. */
 #define STOP_LISTEN_MS 2500
 #define STOP_MARGIN_MS 400
 
 static void free_later(pw_gate *g) {
-  for (size_t i = 0; i < g->nlater; i++)
-    free(g->later[i]);
-  g->nlater = 0;
+  for (size_t i = 0; i < g->nto_free; i++)
+    free(g->to_free[i]);
+  g->nto_free = 0;
 }
 
 static void on_reap(struct ev_loop *ev, ev_prepare *w, int events) {
@@ -49,9 +49,10 @@
   free_later(w->data);
 }
 
-/* --- the platform's question --- */
+/* --- readiness and metrics --- */
 
-/* Once ready, only a planned stop ends it: what is known serves on. */
+/* Sets readiness, which only a planned stop ends: without control the gateway goes on serving with the
+** state that it has. */
 static void note_ready(pw_gate *g, int64_t now) {
   if (g->is_ready || !pwlink_is_current(g->link, now) || !pwgate_may_serve(g))
     return;
@@ -61,16 +62,16 @@
                pwfleet_count(g->fleet));
 }
 
-/* Bytes that may be held for callers and targets. */
-static size_t hold_budget(const pw_gate *g) {
-  return (size_t)(HOLD_SHARE * (double)g->p->set->gateway_memory *
+/* Bytes that may be buffered for callers and targets. */
+static size_t buffer_budget(const pw_gate *g) {
+  return (size_t)(BUFFER_SHARE * (double)g->p->set->gateway_memory *
                   BYTES_PER_MB);
 }
 
 static void answer_metrics(pw_conn *c) {
   pw_buf b = {0};
   pw_gate *g = c->all->arg;
-  pwcount_set(g->p->counters, PWC_GW_CLIENTS, g->front.count);
+  pwcount_set(g->p->counters, PWC_GW_CLIENTS, g->callers.count);
   pwcount_set(g->p->counters, PWC_ACTIVE, g->nexchanges);
   pwcount_set(g->p->counters, PWC_GW_AWAITING, g->nawaiting);
   pwcount_set(g->p->counters, PWC_GW_LEFT_OUT,
@@ -98,8 +99,8 @@
 
 /* --- listening --- */
 
-/* Until a configuration says the limits. */
-static const pw_conn_limits unknown_limits = {
+/* Limits until a configuration sets them. */
+static const pw_conn_limits default_limits = {
     .header_bytes = 65536, .body_bytes = PW_BODY_MAX, .idle_ms = 15000};
 
 static int listen_at(pw_gate *g, pw_conns *s, const char *key, const char *addr,
@@ -107,18 +108,18 @@
   struct sockaddr_in at;
   int fd = pwtcp_address(addr, &at) == 0 ? pwtcp_listen(&at) : -1;
   if (fd < 0) {
-    pwbuf_fmt(err, "gateway.%s: \"%s\": cannot listen there\n", key, addr);
+    pwbuf_fmt(err, "gateway.%s: cannot listen on \"%s\"\n", key, addr);
     return -1;
   }
   s->tcp = &g->tcp;
-  s->limits = unknown_limits;
+  s->limits = default_limits;
   s->arg = g;
   pwconns_start(s, fd);
   return 0;
 }
 
-/* How many callers may be connected: as many as there are descriptors, but for those
-** that its connections to targets need. */
+/* Largest number of connected callers: a share of the file descriptors, since connections to targets
+** need the rest. 0: no limit. */
 static int callers_max(void) {
   struct rlimit limit;
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= INT_MAX)
@@ -128,17 +129,17 @@
 
 static int listen_all(pw_gate *g, pw_buf *err) {
   const pw_settings *set = g->p->set;
-  g->front.max = callers_max();
-  g->front.handle = pwexchange_begin;
-  g->front.abandoned = pwexchange_abandon;
-  g->front.resume = pwexchange_resume;
+  g->callers.max = callers_max();
+  g->callers.handle = pwexchange_begin;
+  g->callers.abandoned = pwexchange_abandon;
+  g->callers.resume = pwexchange_resume;
   g->ready.handle = g->metrics.handle = handle_ready;
   if (set->metrics[0] &&
       listen_at(g, &g->metrics, "metrics", set->metrics, err) != 0)
     return -1;
   if (listen_at(g, &g->ready, "ready", set->gateway_ready, err) != 0)
     return -1;
-  return listen_at(g, &g->front, "http", set->gateway_http, err);
+  return listen_at(g, &g->callers, "http", set->gateway_http, err);
 }
 
 /* --- planned stop --- */
@@ -149,9 +150,9 @@
   int64_t grace = (int64_t)(g->p->set->gateway_grace * MS_PER_S);
   int64_t since = now - g->stop_at;
   int64_t listen = STOP_LISTEN_MS < grace / 2 ? STOP_LISTEN_MS : grace / 2;
-  if (since >= listen && g->front.listening.fd >= 0) {
-    pwconns_unlisten(&g->front);
-    pwconns_close_idle(&g->front);
+  if (since >= listen && g->callers.listening.fd >= 0) {
+    pwconns_unlisten(&g->callers);
+    pwconns_close_idle(&g->callers);
   }
   return since >= grace - STOP_MARGIN_MS ||
          (since >= listen && g->nexchanges == 0);
@@ -162,14 +163,14 @@
   pwproc_set_ready(g->p, 0);
   pwtrace_line(g->trace, PWTRACE_STATE, now, "stopping", "requests=%d",
                g->nexchanges);
-  g->front.is_stopping = g->ready.is_stopping = 1;
-  pwconns_close_idle(
-      &g->front); /* else a request may come when it is too late */
+  g->callers.is_stopping = g->ready.is_stopping = 1;
+  /* A later request on an idle connection could come after the stop. */
+  pwconns_close_idle(&g->callers);
 }
 
-/* --- the loop --- */
+/* --- event loop --- */
 
-/* Connections to targets, to earlier starts of them too. */
+/* Closes idle connections to targets and to their earlier incarnations. */
 static void sweep_targets(pw_gate *g, int64_t now) {
   for (pw_target *t = pwfleet_first(g->fleet); t; t = t->hh.next)
     pwupconn_sweep(t, now);
@@ -178,7 +179,7 @@
 }
 
 static void sweep(pw_gate *g, int64_t now) {
-  pwconns_sweep(&g->front, now);
+  pwconns_sweep(&g->callers, now);
   pwconns_sweep(&g->ready, now);
   if (g->metrics.first)
     pwconns_sweep(&g->metrics, now);
@@ -189,44 +190,45 @@
   pwcount_set(g->p->counters, PWC_GW_TARGETS, pwfleet_count(g->fleet));
 }
 
-/* What is held, and what each may have of the rest. */
-static void check_held(pw_gate *g, int64_t now) {
-  size_t held = pwconns_check(&g->front, now);
-  for (pw_conn *c = g->front.first; c; c = c->next)
+/* Sums up the buffered bytes and sets the limits for each caller and target by the rest. */
+static void check_buffers(pw_gate *g, int64_t now) {
+  size_t buffered = pwconns_check(&g->callers, now);
+  for (pw_conn *c = g->callers.first; c; c = c->next)
     if (c->state)
-      held += pwexchange_held(c->state);
-  g->hold = pwhold_limits(held, hold_budget(g));
-  g->front.ahead_max = g->hold.ahead;
-  g->front.body_room = g->hold.body;
-  g->front.stall_ms = g->hold.stall_ms;
-  g->front.stall_whole_ms = g->hold.stall_whole_ms;
-  pwcount_set(g->p->counters, PWC_GW_HELD, (int64_t)held);
-  pwcount_set(g->p->counters, PWC_GW_STALLED, g->front.nstalled);
+      buffered += pwexchange_held(c->state);
+  g->hold = pwhold_limits(buffered, buffer_budget(g));
+  g->callers.ahead_max = g->hold.ahead;
+  g->callers.body_room = g->hold.body;
+  g->callers.stall_ms = g->hold.stall_ms;
+  g->callers.stall_whole_ms = g->hold.stall_whole_ms;
+  pwcount_set(g->p->counters, PWC_GW_HELD, (int64_t)buffered);
+  pwcount_set(g->p->counters, PWC_GW_STALLED, g->callers.nstalled);
 }
 
-/* What held the loop up held up every event that came meanwhile. */
+/* Records the lag of the event loop, which has delayed all events that came meanwhile. */
 static void note_lag(pw_gate *g, int64_t now) {
   int64_t lag = g->ticked_at ? now - g->ticked_at - TICK_MS : 0;
   g->ticked_at = now;
   pwcount_observe(g->p->counters, PWH_LAG, (lag > 0 ? lag : 0) * US_PER_MS);
-  if (lag >= LAG_TOLD_MS)
+  if (lag >= LAG_LOGGED_MS)
     pwtrace_line(g->trace, PWTRACE_STATE, now, "held-up", "ms=%lld",
                  (long long)lag);
 }
 
-/* Targets are not taken for dark since this process stood still. */
-static void on_held_up(void *arg, int64_t lost_ms) {
+/* Excuses targets for the time for which this process was stalled, so that they do not count as
+** unresponsive. */
+static void on_stall(void *arg, int64_t lost_ms) {
   pw_gate *g = arg;
   pwfleet_excuse(g->fleet, lost_ms);
 }
 
-/* What is decided by how long somebody has been silent. */
-static void judge(pw_gate *g, int64_t now) {
+/* Runs everything that decides by how long others have been silent. */
+static void run_checks(pw_gate *g, int64_t now) {
   pwlink_tick(g->link, now);
   pwgossip_tick(g->gossip, now);
   if (now - g->checked_at >= CHECK_MS) {
     g->checked_at = now;
-    check_held(g, now);
+    check_buffers(g, now);
     pwexchange_check(g, now);
   }
   if (now - g->swept_at >= SWEEP_MS) {
@@ -241,7 +243,7 @@
   int64_t now = pwclock_ms();
   note_lag(g, now);
   if (pwlag_catch_up(&g->tcp.lag, now) == 0)
-    judge(g, now);
+    run_checks(g, now);
   note_ready(g, now);
   if (g->awaiting && pwgate_may_serve(g))
     pwexchange_go_on(g);
@@ -253,19 +255,19 @@
 }
 
 static void end_callers(pw_gate *g) {
-  while (g->front.first) {
-    pw_conn *c = g->front.first;
+  while (g->callers.first) {
+    pw_conn *c = g->callers.first;
     if (c->state)
       pwexchange_stop(c->state);
     else
       pwconn_break(c);
   }
-  pwconns_end(&g->front);
+  pwconns_end(&g->callers);
   pwconns_end(&g->ready);
   pwconns_end(&g->metrics);
 }
 
-static pw_pick_how how_of(const char *place) {
+static pw_pick_how pick_how_of(const char *place) {
   if (!strcmp(place, "load"))
     return PWPICK_BY_LOAD;
   if (!strcmp(place, "turn"))
@@ -281,7 +283,7 @@
 
 pw_code pwgateway_run(pw_proc *p, pw_buf *err) {
   pw_gate g = {.p = p, .dialect = p->dialect, .started_at = pwclock_ms()};
-  g.how = how_of(p->set->gateway_place);
+  g.pick_how = pick_how_of(p->set->gateway_place);
   pw_code rc = PW_E_SETTINGS;
   g.ev = ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV);
   if (!g.ev)
@@ -289,7 +291,7 @@
   randombytes_buf(&g.random, sizeof g.random);
   g.random |= 1;
   pwtcp_loop_init(&g.tcp, g.ev);
-  g.tcp.lag.turn_ms = TURN_MS;
+  g.tcp.lag.turn_ms = STALL_MS;
   ev_prepare_init(&g.reap, on_reap);
   ev_timer_init(&g.tick, on_tick, TICK_S, TICK_S);
   g.reap.data = g.tick.data = &g;
@@ -299,13 +301,13 @@
   g.stages = pwstage_new();
   g.quarantine = pwquar_new();
   g.versions = pwversions_new(&g);
-  g.hold = pwhold_limits(0, hold_budget(&g));
+  g.hold = pwhold_limits(0, buffer_budget(&g));
   g.fleet = pwfleet_new(p->set->availability_zone, p->set->gateway_beat,
                         (int64_t)(p->set->gateway_keep * MS_PER_S));
   pwfleet_believe(g.fleet);
-  g.tcp.held_up = on_held_up;
+  g.tcp.held_up = on_stall;
   g.tcp.arg = &g;
-  g.where = pwwhere_new();
+  g.affinity = pwwhere_new();
   g.gossip = pwgossip_new(&g, err);
   g.link = g.gossip ? pwlink_new(&g, err) : NULL;
   if (g.link && listen_all(&g, err) == 0) {
@@ -319,10 +321,10 @@
   pwlink_free(g.link);
   pwgossip_free(g.gossip);
   free_later(&g);
-  free(g.later);
+  free(g.to_free);
   pwtcp_loop_free(&g.tcp);
   pwfleet_free(g.fleet);
-  pwwhere_free(g.where);
+  pwwhere_free(g.affinity);
   pwgate_forget(&g);
   pwsite_drop(g.site);
   pwtrace_free(g.trace);
--- a/packages/gateway/pwgateway.h
+++ b/packages/gateway/pwgateway.h
@@ -1,10 +1,10 @@
-/* pwgateway.h: the gateway role: callers in, targets out, without an agent. */
+/* pwgateway.h: the gateway role: forwards callers' requests directly to targets, without agents. */
 #ifndef PWGATEWAY_H
 #define PWGATEWAY_H
 
 #include "pwproc.h"
 
-/* Runs until a planned stop ends. */
+/* Runs the gateway until a planned stop has ended. Errors of the settings are written to *err. */
 pw_code pwgateway_run(pw_proc *p, pw_buf *err);
 
 #endif
--- a/packages/gateway/pwhear.c
+++ b/packages/gateway/pwhear.c
@@ -1,9 +1,10 @@
-/* pwhear.c: calls back when a ZeroMQ socket may have messages. */
+/* pwhear.c: watches a ZeroMQ socket for messages on a libev event loop. */
 #include "pwhear.h"
 
 #include <zmq.h>
 
-/* The descriptor of a ZeroMQ socket tells of edges: in case one was missed, s. */
+/* Polling interval, s, in case a wake-up is missed: the descriptor of a ZeroMQ socket is
+** edge-triggered. */
 #define POLL_S 0.05
 
 static void on_io(struct ev_loop *ev, ev_io *w, int events) {
--- a/packages/gateway/pwhear.h
+++ b/packages/gateway/pwhear.h
@@ -1,4 +1,4 @@
-/* pwhear.h: calls back when a ZeroMQ socket may have messages, on libev's loop. */
+/* pwhear.h: watches a ZeroMQ socket for messages on a libev event loop. */
 #ifndef PWHEAR_H
 #define PWHEAR_H
 
@@ -7,14 +7,14 @@
 #include <ev.h>
 
 typedef struct pw_hear {
-  struct ev_loop *ev; /* NULL: it was not started */
+  struct ev_loop *ev; /* NULL: not started */
   void (*read)(void *arg);
   void *arg;
   ev_io io;
   ev_timer poll;
 } pw_hear;
 
-/* `read` takes all messages that are there. */
+/* Starts calling `read` when messages may be waiting; it must take all of them. */
 void pwhear_start(pw_hear *h, struct ev_loop *ev, pw_sock *sock,
                   void (*read)(void *arg), void *arg);
 void pwhear_stop(pw_hear *h);
--- a/packages/gateway/pwhint.c
+++ b/packages/gateway/pwhint.c
@@ -1,4 +1,4 @@
-/* pwhint.c: what targets say of themselves beside their answers. */
+/* pwhint.c: applies what targets report of themselves in the headers of their answers. */
 #include "pwgate.h"
 
 static void note_leaving(pw_gate *g, pw_target *t, int64_t now) {
@@ -17,9 +17,9 @@
                (unsigned long long)t->born, t->service, (long long)ms);
 }
 
-/* Only an answer that turns a request away asks to be left alone: beside another one the same line
-** speaks to the caller. */
-static int turns_away(int status) {
+/* Whether an answer rejects the request. Only then does its retry header ask this gateway for a hold-off;
+** in any other answer the same header is meant for the caller. */
+static int is_rejection(int status) {
   return status == HTTP_STATUS_SERVICE_UNAVAILABLE ||
          status == HTTP_STATUS_TOO_MANY_REQUESTS;
 }
@@ -28,6 +28,6 @@
   int64_t now = pwclock_ms();
   if (told->is_leaving)
     note_leaving(g, t, now);
-  if (told->hold_off_ms > 0 && turns_away(status))
+  if (told->hold_off_ms > 0 && is_rejection(status))
     note_hold_off(g, t, told->hold_off_ms, now);
 }
--- a/packages/gateway/pwkept.c
+++ b/packages/gateway/pwkept.c
@@ -1,12 +1,13 @@
-/* pwkept.c: what a gateway keeps of each service and route, whatever configurations
-** come. */
+/* pwkept.c: per-service and per-route state of a gateway, which outlasts changes of the
+** configuration. */
 #include "pwgate.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 #define MS_PER_S 1000
-#define ROUTES_MAX 1000 /* that are kept; of others nothing is learned */
+/* Most routes with state; nothing is learned of further ones. */
+#define ROUTES_MAX 1000
 
 pw_gate_service *pwgate_service(pw_gate *g, const char *name) {
   for (pw_gate_service *s = g->services; s; s = s->next)
--- a/packages/gateway/pwlink.c
+++ b/packages/gateway/pwlink.c
@@ -1,5 +1,5 @@
-/* pwlink.c: a gateway's links to control instances: configuration, targets,
-** other gateways. It is in touch with all of them; whoever has news tells it. */
+/* pwlink.c: a gateway's links to control instances, from which it learns of
+** configurations, targets and other gateways. It keeps links to all of them, and each sends what is new. */
 #include "pwlinkint.h"
 
 #include "pwtable.h"
@@ -10,34 +10,40 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define WATCH_MS 500 /* control is told so often that we are there */
-#define ANSWERS_MS                                                             \
-  250 /* the leader is told of answers while services are rolled out */
-#define FRESH_TIMES 3 /* missed notices after which control is silent */
-/* A primary has told all of its targets by then, or another one is chosen: so long, ms, and so
-** many times its pause between notices, which grows with those who wait for their turn. Each
-** next one is given twice as long. Who moves on asks for a table of 48 KB (3,000 targets)
-** once more. */
-#define TELL_ALL_MS 1000
-#define TELL_ALL_NOTICES 2
-#define TELL_ALL_MAX_MS 16000
-
-/* A primary that is out of touch with a leader is left after so long, ms: twice the pause
-** between the notices of 50 watchers' control instance. */
-#define APART_MS 1000
-
-/* A gateway goes back to the first control instance of its order when that one has been
-** well for so long, and up to the spread longer, each at its own time, ms. */
+#define WATCH_MS 500 /* default interval of watch messages to control */
+
+/* Interval at which the leader gets answer counts during a rollout, ms. */
+#define ROLLOUT_WATCH_MS 250
+
+/* Missed notices after which a control instance counts as unreachable. */
+#define MISSED_NOTICES 3
+
+/* Time that a new primary has to send its full list of targets before another one is chosen: a fixed
+** part, ms, and a multiple of its notice interval, which grows with the number of its watchers. The fixed
+** part doubles with each failed primary, since each choice requests a table of 48 KB (at 3,000 targets)
+** again. */
+#define FULL_LIST_MS 1000
+#define FULL_LIST_NOTICES 2
+#define FULL_LIST_MAX_MS 16000
+
+/* A primary without contact with a leader is replaced after this time, ms: twice the notice interval of a
+** control instance with 50 watchers. */
+#define NO_LEADER_MS 1000
+
+/* A gateway returns to its most preferred control instance when that one has been healthy for this
+** time, plus a share of the spread that differs for each gateway, ms. */
 #define GO_BACK_MS 2000
 #define GO_BACK_SPREAD_MS 4000
 
-/* Control instances are dialled so long one after another: the first ones until one has
-** answered, and those after it, ms. */
+/* Delay between dialling one control instance and the next, ms: until the first one has answered, and
+** from then on. */
 #define DIAL_FIRST_MS 150
 #define DIAL_MS 300
 
-#define FORGET_MS 20000 /* a control instance silent for so long is dropped */
-#define ALONE_MS 1500   /* with a configuration, but nobody to confirm it */
+#define FORGET_MS 20000 /* a control instance silent for this time is dropped */
+
+/* A configuration counts as current after this time, ms, if no control instance could confirm it. */
+#define UNCONFIRMED_MS 1500
 
 static contact *contact_of(pw_link *l, const char *addr, int64_t now) {
   for (contact *c = l->contacts; c; c = c->next)
@@ -52,9 +58,9 @@
   return c;
 }
 
-/* Dials the first in this gateway's order, and the others one after another: after a loss
-** of all a hundred gateways come back at once, and a control instance of 0.12 cores was
-** busy for 0.4 s with connections of those that rely on another one. */
+/* Dials control instances one after another in this gateway's order. If all were dialled at once, then
+** after a loss of all links a hundred gateways would keep a control instance with 0.12 cores busy for 0.4 s
+** with connections of gateways that use another primary. */
 static void dial_next(pw_link *l, int64_t now) {
   contact *best = NULL;
   int heard = 0;
@@ -86,37 +92,37 @@
   Pw__Envelope e = PW_ENVELOPE(WATCH, watch, &m);
   pwwire_send(l->sock, &c->peer, &e);
   pwversions_clear(&m);
-  c->asked_at = now;
+  c->watched_at = now;
 }
 
 int pwlink_is_fresh(const contact *c, int64_t now) {
-  return c->heard_at && now - c->heard_at <= FRESH_TIMES * c->watch_ms;
+  return c->heard_at && now - c->heard_at <= MISSED_NOTICES * c->watch_ms;
 }
 
-/* Each gateway has an order of its own, so that they spread. */
+/* Each gateway has an order of its own, so that gateways spread over the control instances. */
 uint64_t pwlink_rank(const pw_link *l, const contact *c) {
   const char *self = l->g->p->set->gateway_gossip;
   return XXH3_64bits_withSeed(c->addr, strlen(c->addr),
                               XXH3_64bits(self, strlen(self)));
 }
 
-/* --- what control tells --- */
+/* --- incoming notices --- */
 
-typedef struct told {
+typedef struct target_update {
   pw_link *l;
-  int in_touch;
+  int has_leader;
   int64_t now;
-} told;
+} target_update;
 
-/* What a control instance that is out of touch believes to be silent, others
-** may hear. */
-static void on_told(void *arg, const Pw__Beat *in) {
-  const told *t = arg;
+/* Applies the state of one target. A report that it is silent counts only from a control instance that
+** has contact with a leader: others may still hear the target. */
+static void on_target_state(void *arg, const Pw__Beat *in) {
+  const target_update *t = arg;
   pw_gate *g = t->l->g;
   pw_beat b;
   pwtable_unpack(in, &b);
   pw_fleet_news what = pwfleet_beat(g->fleet, &b, in->gone, t->now - in->age);
-  if (in->silent && t->in_touch)
+  if (in->silent && t->has_leader)
     what = pwfleet_told_silent(g->fleet, b.id, b.born, 1, t->now);
   else if (!in->silent && what == PWFLEET_OLD)
     what = pwfleet_told_silent(g->fleet, b.id, b.born, 0, t->now);
@@ -131,9 +137,9 @@
                  (unsigned long long)b.seq);
 }
 
-/* The gateways, as the primary tells: it knows all of them. */
-static void take_lists(pw_link *l, const contact *from, const Pw__Notice *n,
-                       int64_t now) {
+/* Applies the lists of control instances and gateways. Only the primary knows all gateways. */
+static void apply_peer_lists(pw_link *l, const contact *from,
+                             const Pw__Notice *n, int64_t now) {
   for (size_t i = 0; i < n->n_control; i++)
     contact_of(l, n->control[i], now);
   if (!n->n_gateways || from != l->primary)
@@ -142,7 +148,7 @@
   pwgossip_peers(l->g->gossip, n->gateways, n->n_gateways);
 }
 
-static void take_evacuated(pw_link *l, const Pw__Notice *n, int64_t now) {
+static void apply_evacuated(pw_link *l, const Pw__Notice *n, int64_t now) {
   pw_gate *g = l->g;
   if (!pwfleet_evacuate(g->fleet, n->revision, n->evacuated, n->n_evacuated,
                         now))
@@ -157,27 +163,27 @@
   pwbuf_free(&names);
 }
 
-static void heard_suspect(void *arg, uint64_t sign, pw_quar_news news) {
-  pwgate_note_suspect(arg, sign, news, "kept");
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news news) {
+  pwgate_note_suspect(arg, fingerprint, news, "kept");
 }
 
 static void on_notice(pw_link *l, contact *c, const Pw__Notice *n,
                       int64_t now) {
-  c->site = n->site;
-  c->in_touch = n->in_touch;
+  c->config_version = n->site;
+  c->has_leader = n->in_touch;
   c->watch_ms = n->watch_ms ? n->watch_ms : WATCH_MS;
   if (n->full && c == l->primary) {
-    l->has_told_all = 1;
-    l->patience_ms = TELL_ALL_MS;
+    l->has_full_list = 1;
+    l->full_wait_ms = FULL_LIST_MS;
   }
-  take_evacuated(l, n, now);
+  apply_evacuated(l, n, now);
   pwversions_take(l->g->versions, n, now);
   c->leads = n->leads;
-  pwsuspects_take(l->g->quarantine, n->suspects, n->n_suspects, now,
-                  heard_suspect, l->g);
-  told t = {l, n->in_touch, now};
-  pwtable_read(n, on_told, &t);
-  take_lists(l, c, n, now);
+  pwsuspects_take(l->g->quarantine, n->suspects, n->n_suspects, now, on_suspect,
+                  l->g);
+  target_update t = {l, n->in_touch, now};
+  pwtable_read(n, on_target_state, &t);
+  apply_peer_lists(l, c, n, now);
   pwfollow_ask(l, now);
 }
 
@@ -205,7 +211,7 @@
   }
 }
 
-/* --- time --- */
+/* --- periodic work --- */
 
 static void drop_silent(pw_link *l, int64_t now) {
   for (contact **at = &l->contacts; *at;) {
@@ -218,8 +224,8 @@
     *at = c->next;
     if (c == l->primary)
       l->primary = NULL;
-    if (c == l->wanted_of)
-      l->wanted_of = NULL;
+    if (c == l->requested_from)
+      l->requested_from = NULL;
     if (c->dialled_at)
       pwwire_hang_up(l->sock, c->addr);
     free(c);
@@ -227,44 +233,44 @@
 }
 
 static int is_better(const pw_link *l, const contact *a, const contact *b) {
-  if (!b || a->in_touch != b->in_touch)
-    return !b || a->in_touch;
+  if (!b || a->has_leader != b->has_leader)
+    return !b || a->has_leader;
   return pwlink_rank(l, a) > pwlink_rank(l, b);
 }
 
-/* Whether another one must be chosen: the primary is silent, or has not told
-** its targets, or has long been out of touch with a leader while `best` is in touch.
-** Right after an election some hear of the leader a moment before others: were each
-** gateway to move at once, all would rely on the first. */
+/* Whether another primary must be chosen: the primary is silent, or has not sent its full list
+** in time, or has had no contact with a leader for a while that `best` has. Right after an election
+** some instances hear of the leader a moment before others: if each gateway switched at once,
+** all would choose the first of them. */
 static int must_choose(pw_link *l, const contact *best, int64_t now) {
   const contact *p = l->primary;
   if (!p || !pwlink_is_fresh(p, now))
     return 1;
-  if (!l->has_told_all &&
-      now - l->chosen_at > l->patience_ms + TELL_ALL_NOTICES * p->watch_ms)
+  if (!l->has_full_list &&
+      now - l->chosen_at > l->full_wait_ms + FULL_LIST_NOTICES * p->watch_ms)
     return 1;
-  if (p->in_touch || !best->in_touch)
-    l->apart_at = now;
-  return now - l->apart_at > APART_MS;
+  if (p->has_leader || !best->has_leader)
+    l->contact_lost_at = now;
+  return now - l->contact_lost_at > NO_LEADER_MS;
 }
 
-/* Whether it is time to go back to the first in this gateway's order, which is well again:
-** gateways that have all fled to one control instance would else stay there for good,
-** and its link alone carries tables and documents for all of them. */
+/* Whether to return to the most preferred control instance, which is healthy again. Otherwise gateways
+** that have all failed over to one instance would stay there for good, and its network link alone would
+** carry tables and documents for all of them. */
 static int may_go_back(pw_link *l, const contact *best, int64_t now) {
   const contact *p = l->primary;
-  if (!p || !l->has_told_all || !best->in_touch || !p->in_touch ||
+  if (!p || !l->has_full_list || !best->has_leader || !p->has_leader ||
       pwlink_rank(l, best) < pwlink_rank(l, p)) {
-    l->second_at = now;
+    l->best_primary_at = now;
     return 0;
   }
   int64_t pause =
       GO_BACK_MS + (int64_t)(pwlink_rank(l, best) % GO_BACK_SPREAD_MS);
-  return now - l->second_at > pause;
+  return now - l->best_primary_at > pause;
 }
 
-/* The first in this gateway's order that is heard, before all one in touch with
-** a leader. It stays while it is both. */
+/* Chooses the most preferred reachable control instance, one with contact with a leader first. The
+** primary stays while it is reachable and has that contact. */
 static void choose_primary(pw_link *l, int64_t now) {
   contact *best = NULL;
   for (contact *c = l->contacts; c; c = c->next)
@@ -273,11 +279,11 @@
   if (!best || !(must_choose(l, best, now) | may_go_back(l, best, now)))
     return;
   contact *old = l->primary;
-  if (old && !l->has_told_all && l->patience_ms < TELL_ALL_MAX_MS)
-    l->patience_ms *= 2;
+  if (old && !l->has_full_list && l->full_wait_ms < FULL_LIST_MAX_MS)
+    l->full_wait_ms *= 2;
   l->primary = best;
-  l->has_told_all = 0;
-  l->chosen_at = l->apart_at = l->second_at = now;
+  l->has_full_list = 0;
+  l->chosen_at = l->contact_lost_at = l->best_primary_at = now;
   pwtrace_line(l->g->trace, PWTRACE_STATE, now, "primary", "control=%s",
                best->addr);
   if (old)
@@ -285,10 +291,12 @@
   pwlink_send_watch(l, best, 0, now);
 }
 
-/* The leader decides on roll-outs by what gateways have seen. */
-static int64_t watch_pause(const pw_link *l, const contact *c) {
+/* Interval of watch messages. It is shorter to the leader during a rollout, which the leader decides on
+** by the answer counts of gateways. */
+static int64_t watch_interval_ms(const pw_link *l, const contact *c) {
   int is_awaited = c->leads && pwversions_is_any(l->g->versions);
-  return is_awaited && c->watch_ms > ANSWERS_MS ? ANSWERS_MS : c->watch_ms;
+  return is_awaited && c->watch_ms > ROLLOUT_WATCH_MS ? ROLLOUT_WATCH_MS
+                                                      : c->watch_ms;
 }
 
 void pwlink_tick(pw_link *l, int64_t now) {
@@ -298,7 +306,7 @@
   pwfollow_ask(l, now);
   dial_next(l, now);
   for (contact *c = l->contacts; c; c = c->next)
-    if (c->dialled_at && now - c->asked_at >= watch_pause(l, c))
+    if (c->dialled_at && now - c->watched_at >= watch_interval_ms(l, c))
       pwlink_send_watch(l, c, 0, now);
   drop_silent(l, now);
 }
@@ -311,26 +319,26 @@
   for (const contact *c = l->contacts; c; c = c->next) {
     if (!pwlink_is_fresh(c, now))
       continue;
-    newer |= c->site > held;
-    confirmed |= c->in_touch && c->site <= held;
+    newer |= c->config_version > held;
+    confirmed |= c->has_leader && c->config_version <= held;
   }
   if (newer)
     return 0;
-  return confirmed || now - l->site_at > ALONE_MS;
+  return confirmed || now - l->config_at > UNCONFIRMED_MS;
 }
 
 int pwlink_gateways(const pw_link *l) {
   return l->ngateways > 0 ? l->ngateways : 1;
 }
 
-/* --- making --- */
+/* --- creation --- */
 
 static int dial_seeds(pw_link *l, pw_buf *err) {
   const pw_settings *set = l->g->p->set;
   for (int i = 0; i < set->gateway_control.n; i++) {
     char ip[48], addr[PW_NAME_MAX];
     if (sscanf(set->gateway_control.item[i], "%40[0-9.]:", ip) != 1) {
-      pwbuf_fmt(err, "gateway.control: \"%s\": IP:PORT is allowed\n",
+      pwbuf_fmt(err, "gateway.control: \"%s\" is not IP:PORT\n",
                 set->gateway_control.item[i]);
       return -1;
     }
@@ -345,9 +353,9 @@
   pw_link *l = pw_alloc(sizeof *l);
   l->g = g;
   l->doc = pwdoc_new();
-  l->patience_ms = TELL_ALL_MS;
+  l->full_wait_ms = FULL_LIST_MS;
   l->sock = pwwire_dialler(g->p->wire);
-  pwhear_start(&l->hear, g->ev, l->sock, read_messages, l);
+  pwhear_start(&l->watcher, g->ev, l->sock, read_messages, l);
   l->relay = pwrelay_new(g, l->doc, err);
   if (l->relay && dial_seeds(l, err) == 0)
     return l;
@@ -358,7 +366,7 @@
 void pwlink_free(pw_link *l) {
   if (!l)
     return;
-  pwhear_stop(&l->hear);
+  pwhear_stop(&l->watcher);
   while (l->contacts) {
     contact *c = l->contacts;
     l->contacts = c->next;
--- a/packages/gateway/pwlinkint.h
+++ b/packages/gateway/pwlinkint.h
@@ -1,5 +1,5 @@
-/* pwlinkint.h: state of a gateway's links to control instances, for pwlink.c,
-** pwfollow.c and pwrelay.c alone. */
+/* pwlinkint.h: state of a gateway's links to control instances, private to pwlink.c,
+** pwfollow.c and pwrelay.c. */
 #ifndef PWLINKINT_H
 #define PWLINKINT_H
 
@@ -17,69 +17,74 @@
   char addr[PW_NAME_MAX];
   pw_peer peer;
   int is_seed;
-  uint64_t site; /* version it has told */
-  int in_touch;
+  uint64_t config_version; /* as it last reported */
+  int has_leader;          /* it is the leader or hears from the leader */
   int leads;
   int64_t heard_at; /* 0: never */
-  int64_t watch_ms; /* how often it wants to hear of us */
-  int64_t known_at, asked_at;
-  int64_t dialled_at; /* 0: not yet */
+  int64_t watch_ms; /* interval at which it wants a watch message */
+  int64_t known_at;
+  int64_t watched_at; /* when a watch message was last sent to it */
+  int64_t dialled_at; /* 0: not dialled yet */
   struct contact *next;
 } contact;
 
 struct pw_link {
   pw_gate *g;
-  size_t suspects_at; /* of those to be told, in the next watch */
+  size_t suspects_at; /* next suspect to send in a watch message */
   pw_sock *sock;
   pw_doc *doc;
   contact *contacts;
-  contact *primary; /* it tells all that is known of targets */
-  int has_told_all; /* the primary, since it was chosen */
+  contact *primary;  /* the one that sends the full list of targets */
+  int has_full_list; /* received from the primary since it was chosen */
   int64_t chosen_at;
-  int64_t dialled_at;  /* when one was dialled last */
-  int64_t apart_at;    /* when it was last in touch, or others were not */
-  int64_t second_at;   /* when no better one was known last */
-  int64_t patience_ms; /* for the primary to tell all */
-  int64_t site_at;     /* when the newest configuration came */
-  int64_t behind_at;   /* when a newer one was told of first; 0: none was */
-  int64_t wanted_at;   /* when it was asked for last, and of whom */
-  contact *wanted_of;
-  pw_reading *reading; /* of it, or of one before; NULL: it has been read */
-  pw_site *before;     /* what it is read with, held */
+  int64_t dialled_at; /* when any control instance was last dialled */
+  /* Last time at which the primary had contact with a leader, or no other control
+  ** instance had it. */
+  int64_t contact_lost_at;
+  int64_t best_primary_at; /* last time at which no better primary was known */
+  int64_t full_wait_ms;    /* time that a primary has to send its full list */
+  int64_t config_at;       /* when the newest configuration was received */
+  int64_t behind_at;       /* when a newer one was first reported; 0: none is */
+  int64_t requested_at; /* when a newer one was last requested, and from whom */
+  contact *requested_from;
+  pw_reading *reading; /* parser of a received document; NULL: none */
+  pw_site *base_site;  /* in force when reading began; reference held */
   uint64_t read_version;
   size_t read_bytes;
-  char helper[PW_NAME_MAX]; /* a gateway that was asked for it; "": none */
+  char relay_addr[PW_NAME_MAX]; /* gateway asked for it; "": none */
   pw_relay *relay;
   int ngateways;
-  pw_hear hear;
+  pw_hear watcher;
 };
 
-/* Says to a control instance what is held here; `want`: and that a newer one is wanted. */
+/* Tells a control instance the version of the configuration held here; `want`: also requests a newer
+** one. */
 void pwlink_send_watch(pw_link *l, contact *c, int want, int64_t now);
 
-/* Whether it was heard just now. */
+/* Whether a message of the instance came recently enough that it counts as reachable. */
 int pwlink_is_fresh(const contact *c, int64_t now);
 
-/* Its place in this gateway's own order, the first has the highest. */
+/* Rank of a control instance in this gateway's own order of preference; the highest is preferred. */
 uint64_t pwlink_rank(const pw_link *l, const contact *c);
 
-/* --- pwfollow.c: the configuration, from being told of to being in force --- */
+/* --- pwfollow.c: fetching and applying the configuration --- */
 
-/* Asks for a newer one if one was told of. */
+/* Requests a newer configuration if a control instance has reported one. */
 void pwfollow_ask(pw_link *l, int64_t now);
 
-/* A document came, or the address of a gateway that has it. */
+/* Takes a received document, or asks the gateway that it refers to. */
 void pwfollow_document(pw_link *l, const Pw__Document *d, int64_t now);
 
-/* Reads on in what came. */
+/* Reads the next part of the received document. */
 void pwfollow_read(pw_link *l);
 
-/* Gives up reading. */
+/* Ends reading and frees its state. */
 void pwfollow_end(pw_link *l);
 
-/* --- pwrelay.c: the configuration, handed on to other gateways --- */
+/* --- pwrelay.c: forwarding the configuration to other gateways --- */
 
-/* Listens on gateway.relay, if that is set, and hands on `doc`. NULL with a reason. */
+/* Listens on gateway.relay, if that is set, and sends `doc` to gateways that ask. NULL: an error, with
+** the reason in *err. */
 pw_relay *pwrelay_new(pw_gate *g, const pw_doc *doc, pw_buf *err);
 void pwrelay_free(pw_relay *r);
 
--- a/packages/gateway/pwrelay.c
+++ b/packages/gateway/pwrelay.c
@@ -1,17 +1,17 @@
-/* pwrelay.c: hands the configuration on to other gateways, which control sends here. */
+/* pwrelay.c: sends the configuration to other gateways that control has referred to this one. */
 #include "pwlinkint.h"
 
 #include <stdlib.h>
 
 struct pw_relay {
-  pw_sock *sock; /* NULL: it hands nothing on */
+  pw_sock *sock; /* NULL: no address is set, nothing is sent */
   const pw_doc *doc;
   pw_hear hear;
 };
 
 static void on_watch(pw_relay *r, const pw_peer *from, const Pw__Watch *m) {
   if (!m->want || pwdoc_version(r->doc) <= m->site)
-    return; /* what was here is gone: who asked asks control again */
+    return; /* nothing newer is held: the other gateway asks control again */
   Pw__Document d = *pwdoc_packed(r->doc, m->site);
   Pw__Envelope e = PW_ENVELOPE(DOCUMENT, document, &d);
   pwwire_send(r->sock, from, &e);
--- a/packages/gateway/pwstage.c
+++ b/packages/gateway/pwstage.c
@@ -1,4 +1,4 @@
-/* pwstage.c: latencies of requests by route and stage. */
+/* pwstage.c: latency histograms by route and stage. */
 #include "pwstage.h"
 
 #include "pwhist.h"
@@ -8,7 +8,9 @@
 #include <string.h>
 #include <uthash.h>
 
-#define ROUTES_MAX 1000 /* told apart; the rest are "other" */
+/* Routes with a series of their own; the rest share "other". */
+#define ROUTES_MAX 1000
+
 #define US_PER_MS 1000
 
 typedef struct series {
@@ -62,7 +64,8 @@
   one->sum_us[stage] += ms * US_PER_MS;
 }
 
-/* A name comes from a document: what would end the label is left out. */
+/* Writes a label value without the characters that would end it: route names come from the
+** configuration. */
 static void add_label(pw_buf *out, const char *value) {
   for (const char *p = value; *p; p++)
     if (*p != '"' && *p != '\\' && *p != '\n')
--- a/packages/gateway/pwstage.h
+++ b/packages/gateway/pwstage.h
@@ -1,4 +1,4 @@
-/* pwstage.h: latencies of requests by route and stage. One thread owns a table. */
+/* pwstage.h: latency histograms by route and stage. Not thread-safe: each table belongs to one thread. */
 #ifndef PWSTAGE_H
 #define PWSTAGE_H
 
@@ -7,10 +7,10 @@
 #include <stdint.h>
 
 typedef enum pw_stage {
-  PWSTAGE_QUEUE, /* until it was sent to a first target */
-  PWSTAGE_FIRST, /* until its caller has the first of the answer */
-  PWSTAGE_PAUSE, /* longest pause between events of a stream, as passed on */
-  PWSTAGE_WHOLE, /* until its caller has all of it */
+  PWSTAGE_QUEUE, /* until the request was sent to its first target */
+  PWSTAGE_FIRST, /* until the first bytes of the answer were sent to the caller */
+  PWSTAGE_PAUSE, /* longest pause between forwarded events of a stream */
+  PWSTAGE_WHOLE, /* until the complete answer was sent to the caller */
   PWSTAGES
 } pw_stage;
 
@@ -22,7 +22,7 @@
 void pwstage_observe(pw_stages *s, const char *route, pw_stage stage,
                      int64_t ms);
 
-/* As Prometheus text; series without an observation are left out. */
+/* Writes Prometheus text; series without observations are left out. */
 void pwstage_render(const pw_stages *s, pw_buf *out);
 
 #endif
--- a/packages/gateway/pwtold.c
+++ b/packages/gateway/pwtold.c
@@ -1,4 +1,4 @@
-/* pwtold.c: loads as they travel between gateways. */
+/* pwtold.c: packs and unpacks the messages between gateways. */
 #include "pwtold.h"
 
 #include "pwbuf.h"
@@ -37,7 +37,7 @@
   }
   if (m->seq <= t->part[m->part].seq)
     return 0;
-  if (t->parts != parts) /* targets go to other parts */
+  if (t->parts != parts) /* targets are distributed over the parts anew */
     clear_parts(t);
   t->parts = parts;
   t->at = now;
@@ -57,7 +57,7 @@
       pwloads_add(sum, t->part[i].row[k].key, t->part[i].row[k].load);
 }
 
-/* So many datagrams that loads and prompts find room. */
+/* Number of datagrams that loads and prompts need. */
 static uint32_t parts_of(const pw_loads *loads, const pw_told_prompts *moved) {
   size_t parts = (loads->n + PWTOLD_LOADS - 1) / PWTOLD_LOADS;
   size_t more = (moved->n + PWTOLD_PROMPTS - 1) / PWTOLD_PROMPTS;
@@ -67,7 +67,7 @@
   return parts ? (uint32_t)parts : 1;
 }
 
-/* Hashes do not fall evenly into parts: what finds no room is left out this time. */
+/* Fills one part. Hashes do not spread evenly over the parts; rows that do not fit are left out. */
 static void fill_loads(Pw__Gossip *m, const pw_loads *loads) {
   size_t at = 0;
   const pw_load_row *row;
@@ -79,9 +79,9 @@
   }
 }
 
-/* Leaves out prompts, and then loads, until it is no longer than a datagram may be: a part that was not
-** told would leave what was told of its targets before in force. */
-static void fit(Pw__Gossip *m) {
+/* Drops prompts, and then loads, until the message fits into a datagram. If the part were not sent
+** at all, the receivers would keep the outdated loads of its targets. */
+static void trim_to_size(Pw__Gossip *m) {
   while (pw__gossip__get_packed_size(m) > PWTOLD_BYTES) {
     if (m->n_keys > 0)
       m->n_keys = m->n_places = m->n_keys - 1;
@@ -97,7 +97,7 @@
   uint32_t target[2 * PWTOLD_LOADS], load[2 * PWTOLD_LOADS];
   uint8_t data[PWTOLD_BYTES];
   uint32_t parts = parts_of(loads, moved);
-  size_t told = 0;
+  size_t packed = 0;
   for (uint32_t part = 0; part < parts; part++) {
     Pw__Gossip m = PW__GOSSIP__INIT;
     m.incarnation = incarnation;
@@ -108,19 +108,20 @@
     m.targets = target;
     m.loads = load;
     fill_loads(&m, loads);
-    m.keys = (uint64_t *)moved->key + told;
-    m.places = (uint32_t *)moved->to + told;
-    m.n_keys = moved->n - told;
+    m.keys = (uint64_t *)moved->key + packed;
+    m.places = (uint32_t *)moved->to + packed;
+    m.n_keys = moved->n - packed;
     if (m.n_keys > PWTOLD_PROMPTS)
       m.n_keys = PWTOLD_PROMPTS;
     m.n_places = m.n_keys;
-    fit(&m);
-    told += m.n_keys;
+    trim_to_size(&m);
+    packed += m.n_keys;
     send(arg, data, pw__gossip__pack(&m, data));
   }
 }
 
-/* It counts in no sequence: an instance that knows loads alone takes it for an old telling. */
+/* The message has no sequence number, so an instance of a version that knows loads alone drops it as
+** outdated. */
 void pwtold_pack_suspects(uint64_t incarnation, Pw__Suspect **list, size_t n,
                           void (*send)(void *arg, const uint8_t *data,
                                        size_t n),
--- a/packages/gateway/pwupconn.c
+++ b/packages/gateway/pwupconn.c
@@ -1,4 +1,4 @@
-/* pwupconn.c: kept connections to targets. */
+/* pwupconn.c: pooled HTTP connections to targets. */
 #include "pwgate.h"
 
 #include "pwlog.h"
@@ -7,11 +7,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECT_MS 300 /* a connection that is not up by then is lost */
-#define SILENT_MS 1500 /* a target that acknowledges nothing for so long */
-#define HEAD_MAX 65536 /* bytes of an answer's head */
-#define REST_DEFAULT_MS 4000 /* kept without a word from the target */
-#define REST_MARGIN_MS 1000  /* closed so long before the target does */
+#define CONNECT_MS 300       /* time to establish a connection */
+#define SILENT_MS 1500       /* lost if no data is acknowledged for this time */
+#define HEAD_MAX 65536       /* largest head of an answer, bytes */
+#define IDLE_DEFAULT_MS 4000 /* longest idle time if the target tells none */
+#define IDLE_MARGIN_MS 1000  /* closed this long before the target would */
 #define MS_PER_S 1000
 
 struct pw_upconn {
@@ -19,21 +19,21 @@
   pw_target *t;
   pw_tcp *tcp;
   pw_h1 answer;
-  pw_exchange *x; /* NULL: at rest */
+  pw_exchange *x; /* NULL: idle */
   ev_timer connecting;
-  int64_t dialled_at; /* by pwtcp_clock, ms */
-  pw_buf out;         /* to be written when it is up */
+  int64_t dialled_at; /* ms of pwtcp_clock */
+  pw_buf out;         /* to be written once connected */
   int is_up;
-  int has_rested; /* the request in progress is not its first ... */
-  int has_spoken; /* ... and the target has sent something since */
-  int is_surplus; /* an answer to an earlier request is being let pass */
+  int was_reused;   /* the current request is not its first */
+  int has_received; /* bytes have come since the current request was sent */
+  int is_stale; /* the answer of an earlier request, or a 1xx one, is skipped */
   int is_closed;
-  int64_t rest_ms; /* longest rest, as the target has told */
-  int64_t rested_at;
+  int64_t idle_ms; /* longest idle time, as the target has told */
+  int64_t idle_since;
   pw_upconn *next;
 };
 
-/* --- ends --- */
+/* --- closing --- */
 
 static void unlist(pw_upconn *u) {
   for (pw_upconn **at = &u->t->idle; *at; at = &(*at)->next) {
@@ -65,7 +65,7 @@
 
 static void fail(pw_upconn *u, pw_tcp_end how) {
   pw_exchange *x = u->x;
-  int unused = u->has_rested && !u->has_spoken;
+  int unused = u->was_reused && !u->has_received;
   if (!u->is_up)
     how = PWTCP_REFUSED;
   close_conn(u, how != PWTCP_EOF);
@@ -73,75 +73,75 @@
     pwexchange_failed(x, how, unused);
 }
 
-static void rest(pw_upconn *u) {
+static void make_idle(pw_upconn *u) {
   u->x = NULL;
-  u->rested_at = pwclock_ms();
+  u->idle_since = pwclock_ms();
   u->next = u->t->idle;
   u->t->idle = u;
 }
 
 /* --- answers --- */
 
-/* Keep-Alive: timeout=S. */
-static void read_rest(pw_upconn *u) {
+/* Reads the longest idle time from the header "Keep-Alive: timeout=S". */
+static void read_keep_alive(pw_upconn *u) {
   const pw_h1_header *h = pwh1_find(&u->answer, "Keep-Alive");
   static const char key[] = "timeout=";
   for (size_t i = 0; h && i + sizeof key - 1 < h->nvalue; i++)
     if (!memcmp(h->value + i, key, sizeof key - 1))
-      u->rest_ms = atoi(h->value + i + sizeof key - 1) * MS_PER_S;
+      u->idle_ms = atoi(h->value + i + sizeof key - 1) * MS_PER_S;
 }
 
 static void on_body(void *arg, const char *data, size_t n) {
   pw_upconn *u = arg;
-  if (u->x && !u->is_surplus && !u->is_closed)
+  if (u->x && !u->is_stale && !u->is_closed)
     pwexchange_body(u->x, data, n);
 }
 
-/* The head of an answer is there: that of this request, or one that came too
-** late for an earlier one. */
+/* Handles the head of an answer, which belongs to the current request or, come too
+** late, to an earlier one. */
 static void on_head(pw_upconn *u) {
   pw_told told;
-  read_rest(u);
+  read_keep_alive(u);
   if (u->answer.parser.status_code / 100 == 1) {
-    u->is_surplus = 1;
+    u->is_stale = 1;
     return;
   }
-  u->is_surplus = pwexchange_is_surplus(u->x, &u->answer, &told);
+  u->is_stale = pwexchange_is_surplus(u->x, &u->answer, &told);
   pwhint_heed(u->g, u->t, u->answer.parser.status_code, &told);
-  if (!u->is_surplus)
+  if (!u->is_stale)
     pwexchange_head(u->x, &u->answer, &told);
 }
 
-/* An answer is whole. `more`: bytes follow it. */
-static void on_whole(pw_upconn *u, int more) {
+/* Handles the end of an answer. `more`: bytes follow it. */
+static void on_complete(pw_upconn *u, int more) {
   int keep = u->answer.keep;
   pw_exchange *x = u->x;
-  if (u->is_surplus) {
-    u->is_surplus = 0;
+  if (u->is_stale) {
+    u->is_stale = 0;
     if (keep)
       pwh1_reset(&u->answer);
     else
       fail(u, PWTCP_EOF);
     return;
   }
-  /* What follows belongs to no request; and a body that is still being written
-  ** must not be followed by another request. */
+  /* Bytes that follow belong to no request; and no other request may follow a body that
+  ** is still being written. */
   if (!keep || more || pwtcp_pending(u->tcp) > 0 || u->t->is_gone) {
     close_conn(u, 1);
   } else {
     pwh1_reset(&u->answer);
-    rest(u);
+    make_idle(u);
   }
   pwexchange_whole(x);
 }
 
 static void on_data(void *arg, const char *data, size_t n) {
   pw_upconn *u = arg;
-  if (!u->x) { /* belongs to no request */
+  if (!u->x) { /* the bytes belong to no request */
     close_conn(u, 1);
     return;
   }
-  u->has_spoken = 1;
+  u->has_received = 1;
   u->t->seen_at = pwclock_ms();
   while (n > 0 && u->x && !u->is_closed) {
     pw_h1_state before = u->answer.state;
@@ -158,17 +158,17 @@
     if (before == PWH1_HEAD && now != PWH1_HEAD)
       on_head(u);
     if (!u->is_closed && u->answer.state == PWH1_DONE)
-      on_whole(u, n > 0);
+      on_complete(u, n > 0);
   }
 }
 
 static void on_ended(void *arg, pw_tcp_end how) {
   pw_upconn *u = arg;
-  if (how == PWTCP_EOF && u->x && !u->is_surplus) {
+  if (how == PWTCP_EOF && u->x && !u->is_stale) {
     pwh1_eof(&u->answer);
     if (u->answer.state == PWH1_DONE) {
       u->answer.keep = 0;
-      on_whole(u, 0);
+      on_complete(u, 0);
       return;
     }
   }
@@ -190,7 +190,8 @@
 
 static const pw_tcp_calls calls = {on_connected, on_data, on_ended, NULL};
 
-/* It may have come up while the loop stood still, and its target is not to be taken for lost. */
+/* Does not count time for which the event loop was stalled: the connection may have been established
+** meanwhile, and the target must not be taken for lost. */
 static void on_connect_timeout(struct ev_loop *ev, ev_timer *w, int events) {
   (void)ev;
   (void)events;
@@ -206,7 +207,7 @@
   pw_upconn *u = pw_alloc(sizeof *u);
   u->g = g;
   u->t = pwfleet_hold(t);
-  u->rest_ms = REST_DEFAULT_MS;
+  u->idle_ms = IDLE_DEFAULT_MS;
   pwh1_init(&u->answer, HTTP_RESPONSE, HEAD_MAX);
   u->answer.arg = u;
   u->answer.on_body = on_body;
@@ -225,35 +226,35 @@
   return u;
 }
 
-static int64_t longest_rest(const pw_upconn *u) {
-  return u->rest_ms - REST_MARGIN_MS;
+static int64_t longest_idle(const pw_upconn *u) {
+  return u->idle_ms - IDLE_MARGIN_MS;
 }
 
-static pw_upconn *take_idle(pw_target *t, int64_t rest_ms, int64_t now) {
+static pw_upconn *take_idle(pw_target *t, int64_t max_idle_ms, int64_t now) {
   pw_upconn *u = t->idle;
   if (!u)
     return NULL;
-  int64_t rested = now - u->rested_at;
-  if (rested > rest_ms || rested > longest_rest(u)) {
-    close_conn(u, 0); /* the newest at rest: the others are older */
+  int64_t idle = now - u->idle_since;
+  if (idle > max_idle_ms || idle > longest_idle(u)) {
+    close_conn(u, 0); /* the newest: all others were idle for longer */
     return NULL;
   }
   t->idle = u->next;
   u->next = NULL;
-  u->has_rested = 1;
+  u->was_reused = 1;
   return u;
 }
 
 pw_upconn *pwupconn_send(pw_gate *g, pw_target *t, pw_exchange *x, pw_buf *head,
                          const pw_buf *body, int is_head_only,
-                         int64_t rest_ms) {
-  pw_upconn *u = take_idle(t, rest_ms, pwclock_ms());
+                         int64_t max_idle_ms) {
+  pw_upconn *u = take_idle(t, max_idle_ms, pwclock_ms());
   if (!u)
     u = open_conn(g, t);
   if (!u)
     return NULL;
   u->x = x;
-  u->has_spoken = 0;
+  u->has_received = 0;
   u->answer.skip_body = is_head_only;
   if (u->is_up) {
     pwtcp_write2(u->tcp, head->data, head->len, body->data, body->len);
@@ -277,12 +278,12 @@
   pwtcp_pause(u->tcp, paused);
 }
 
-/* --- upkeep --- */
+/* --- idle connections --- */
 
 void pwupconn_sweep(pw_target *t, int64_t now) {
   for (pw_upconn *u = t->idle, *next; u; u = next) {
     next = u->next;
-    if (t->is_gone || now - u->rested_at > longest_rest(u))
+    if (t->is_gone || now - u->idle_since > longest_idle(u))
       close_conn(u, 0);
   }
 }
--- a/packages/gateway/pwversions.c
+++ b/packages/gateway/pwversions.c
@@ -1,13 +1,13 @@
-/* pwversions.c: services that are rolled out to another version. */
+/* pwversions.c: rollouts of services to another version, and counts of their answers. */
 #include "pwversions.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Answers on one route. */
+/* Answer counts on one route. */
 typedef struct answers {
   char route[PW_NAME_MAX];
-  uint64_t good[2], bad[2]; /* of other versions, and of the new one */
+  uint64_t good[2], bad[2]; /* of the old versions [0] and of the new one [1] */
 } answers;
 
 typedef struct rollout {
@@ -19,7 +19,7 @@
 
 struct pw_versions {
   pw_gate *g;
-  uint64_t revision; /* of what is known */
+  uint64_t revision; /* of the list */
   rollout *list;
   size_t n;
 };
@@ -49,9 +49,9 @@
                                         : PWCANARY_RUNNING;
 }
 
-/* What was counted stays with the same roll-out. */
-static void read_one(const pw_versions *v, const Pw__ServiceRollout *in,
-                     rollout *out) {
+/* Unpacks a rollout and keeps its counts if it is already known. */
+static void unpack(const pw_versions *v, const Pw__ServiceRollout *in,
+                   rollout *out) {
   const rollout *before = find(v, in->service);
   if (before && before->begun == in->begun)
     *out = *before;
@@ -61,7 +61,7 @@
   out->fleet.canary = (pw_canary){state_of(in), (int)in->share};
 }
 
-static void tell(const pw_versions *v, const rollout *now, int64_t at) {
+static void log_change(const pw_versions *v, const rollout *now, int64_t at) {
   const rollout *before = find(v, now->fleet.service);
   const pw_canary *c = &now->fleet.canary;
   if (before && before->begun == now->begun &&
@@ -73,7 +73,7 @@
                now->fleet.version, pwcanary_state_name(c->state), c->share);
 }
 
-static void adopt(pw_versions *v, rollout *list, size_t n) {
+static void apply(pw_versions *v, rollout *list, size_t n) {
   pw_fleet_rollout *fleet = pw_alloc(sizeof *fleet * (n + 1));
   for (size_t i = 0; i < n; i++)
     fleet[i] = list[i].fleet;
@@ -90,14 +90,14 @@
   v->revision = n->revision;
   if (n->n_rollouts == 0 && v->n == 0)
     return;
-  size_t count =
+  size_t n_rollouts =
       n->n_rollouts < PW_ROLLOUTS_MAX ? n->n_rollouts : PW_ROLLOUTS_MAX;
-  rollout *list = pw_alloc(sizeof *list * (count + 1));
-  for (size_t i = 0; i < count; i++) {
-    read_one(v, n->rollouts[i], &list[i]);
-    tell(v, &list[i], now);
+  rollout *list = pw_alloc(sizeof *list * (n_rollouts + 1));
+  for (size_t i = 0; i < n_rollouts; i++) {
+    unpack(v, n->rollouts[i], &list[i]);
+    log_change(v, &list[i], now);
   }
-  adopt(v, list, count);
+  apply(v, list, n_rollouts);
 }
 
 int pwversions_is_any(const pw_versions *v) {
@@ -107,7 +107,7 @@
   return 0;
 }
 
-/* The last one counts for all routes for which there is no room. */
+/* Counts of a route. The last entry is shared by all routes that exceed the limit. */
 static answers *route_of(rollout *r, const char *route) {
   for (int i = 0; i < r->nroutes; i++)
     if (!strcmp(r->route[i].route, route))
@@ -133,7 +133,7 @@
     one->good[to]++;
 }
 
-static size_t count(const pw_versions *v) {
+static size_t running_routes(const pw_versions *v) {
   size_t n = 0;
   for (size_t i = 0; i < v->n; i++)
     if (v->list[i].fleet.canary.state == PWCANARY_RUNNING)
@@ -155,7 +155,7 @@
 }
 
 void pwversions_fill(const pw_versions *v, Pw__Watch *m) {
-  size_t n = count(v);
+  size_t n = running_routes(v);
   if (!n)
     return;
   m->answers = pw_alloc(sizeof *m->answers * n);
--- a/packages/gateway/pwversions.h
+++ b/packages/gateway/pwversions.h
@@ -1,5 +1,5 @@
-/* pwversions.h: services that are rolled out to another version: what control tells of them, and
-** what it is told of their answers. */
+/* pwversions.h: rollouts of services to another version: takes their state from control and
+** counts the answers that control decides by. */
 #ifndef PWVERSIONS_H
 #define PWVERSIONS_H
 
@@ -12,18 +12,18 @@
 pw_versions *pwversions_new(pw_gate *g);
 void pwversions_free(pw_versions *v);
 
-/* Roll-outs as a control instance knows them; older ones than are known change nothing. */
+/* Takes the rollouts in a notice of a control instance; an outdated notice changes nothing. */
 void pwversions_take(pw_versions *v, const Pw__Notice *n, int64_t now);
 
-/* Whether one is under way, so that control waits for what is answered. */
+/* Whether a rollout is running, so that control waits for answer counts. */
 int pwversions_is_any(const pw_versions *v);
 
-/* A target has answered a request of the service: well, or with a failure of its own or
-** slowly. */
+/* Counts an answer of a target. `is_bad`: it was a failure of the target, or too
+** slow. */
 void pwversions_note(pw_versions *v, const pw_target *t, const char *route,
                      int is_bad);
 
-/* Puts all that was answered into a message; freed with pwversions_clear. */
+/* Puts the answer counts of all running rollouts into a message; freed with pwversions_clear. */
 void pwversions_fill(const pw_versions *v, Pw__Watch *m);
 void pwversions_clear(Pw__Watch *m);
 
