--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -1,5 +1,5 @@
-/* test_gateway.c: targets, picks, budgets, documents and log lines of gateways, without
-** a process. */
+/* test_gateway.c: unit tests of the parts of a gateway: table of targets, choice of a target,
+** retry budget, target lists, configuration documents and log lines. */
 #include "platform.h"
 #include "pwdoc.h"
 #include "pwfleet.h"
@@ -14,8 +14,8 @@
 
 /* --- targets --- */
 
-static pw_beat beat(const char *id, const char *address, uint64_t seq,
-                    int leaving) {
+static pw_beat heartbeat(const char *id, const char *address, uint64_t seq,
+                         int leaving) {
   pw_beat b = {.slots = 4, .leaving = leaving, .seq = seq};
   pw_copy(b.id, sizeof b.id, id);
   pw_copy(b.service, sizeof b.service, "s");
@@ -30,25 +30,27 @@
 
 static void test_fleet(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_beat c = beat("c", "10.0.0.3:80", 1, 0); /* another one, never silent */
+  /* a second target, which is never silent */
+  pw_beat c = heartbeat("c", "10.0.0.3:80", 1, 0);
   pwfleet_beat(f, &c, 0, 100000);
-  pw_beat b = beat("a", "10.0.0.1:80", 5, 0);
+  pw_beat b = heartbeat("a", "10.0.0.1:80", 5, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
   CHECK(pwfleet_beat(f, &b, 0, 1010) == PWFLEET_OLD);
   CHECK(pwfleet_usable(f, "s", 1000) == 2);
-  b = beat("a", "10.0.0.1:80", 7, 1);
+  b = heartbeat("a", "10.0.0.1:80", 7, 1);
   CHECK(pwfleet_beat(f, &b, 0, 1020) == PWFLEET_LEAVING);
-  b = beat("a", "10.0.0.1:80", 6, 0); /* one that was under way for long */
+  b = heartbeat("a", "10.0.0.1:80", 6, 0); /* a delayed heartbeat */
   CHECK(pwfleet_beat(f, &b, 0, 1030) == PWFLEET_OLD);
   CHECK(pwfleet_usable(f, "s", 1030) == 1);
-  /* its address is given to another */
-  b = beat("b", "10.0.0.1:80", 1, 0);
+  /* a new target takes over the address */
+  b = heartbeat("b", "10.0.0.1:80", 1, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1040) == PWFLEET_JOINED);
   CHECK(pwfleet_find(f, "a")->is_gone);
-  b = beat("a", "10.0.0.1:80", 9, 0); /* gone is gone */
+  /* a target that is gone stays gone */
+  b = heartbeat("a", "10.0.0.1:80", 9, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1050) == PWFLEET_OLD);
   CHECK(!pwfleet_find(f, "b")->is_gone);
-  /* silence, judged where heartbeats are heard */
+  /* a target is silent when its heartbeats are missing */
   int silent = 0;
   pwfleet_tick(f, 1400, count_silent, &silent);
   CHECK(silent == 0 && pwfleet_usable(f, "s", 1400) == 2);
@@ -57,7 +59,7 @@
   pwfleet_answered(pwfleet_find(f, "b"), 10, 1500);
   CHECK(pwfleet_usable(f, "s", 1700) == 2);
   CHECK(pwfleet_usable(f, "s", 1900) == 1);
-  b = beat("b", "10.0.0.1:80", 2, 0);
+  b = heartbeat("b", "10.0.0.1:80", 2, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1900) == PWFLEET_BACK);
   CHECK(pwfleet_usable(f, "s", 1900) == 2);
   CHECK(pwfleet_renew(f, "b", 0, 2, 1950) == PWFLEET_OLD);
@@ -67,71 +69,74 @@
   CHECK(pwfleet_told_silent(f, "b", 0, 1, 2000) == PWFLEET_SILENT);
   CHECK(pwfleet_told_silent(f, "b", 0, 1, 2000) == PWFLEET_OLD);
   CHECK(pwfleet_usable(f, "s", 2000) == 1);
-  b = beat("c", "", 9, 0); /* without an address: it stays as it was */
+  /* without an address a heartbeat changes nothing */
+  b = heartbeat("c", "", 9, 0);
   CHECK(pwfleet_beat(f, &b, 0, 2000) == PWFLEET_OLD);
   CHECK(!pwfleet_find(f, "c")->is_gone && pwfleet_find(f, "c")->seq == 1);
   CHECK(pwfleet_told_silent(f, "c", 0, 1, 2000) == PWFLEET_SILENT);
-  CHECK(pwfleet_usable(f, "s", 2000) == 2); /* all at once: nobody hears them */
+  /* all silent at once: the fault is in the listener */
+  CHECK(pwfleet_usable(f, "s", 2000) == 2);
   pwfleet_tick(f, 10000, NULL, NULL);
   CHECK(pwfleet_find(f, "a") == NULL && pwfleet_find(f, "b") == NULL);
   pwfleet_free(f);
 }
 
-static pw_beat start(const char *id, uint64_t born, uint64_t seq) {
-  pw_beat b = beat(id, "10.0.0.1:80", seq, 0);
+static pw_beat heartbeat_of_incarnation(const char *id, uint64_t born,
+                                        uint64_t seq) {
+  pw_beat b = heartbeat(id, "10.0.0.1:80", seq, 0);
   b.born = born;
   return b;
 }
 
-/* A target starts again under its id: it counts anew, and nothing that was known of it is so. */
-static void test_starts(void) {
+/* A target that restarts under its id gets a new incarnation, to which no state of the old one applies. */
+static void test_incarnations(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_beat b = start("a", 10, 500);
+  pw_beat b = heartbeat_of_incarnation("a", 10, 500);
   b.cold_ms = 5000;
   CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
   pw_target *old = pwfleet_hold(pwfleet_find(f, "a"));
   old->inflight = old->nconns = 1;
   old->failures = 3;
   old->set_aside = 9000;
-  b = start("a", 20, 1);
+  b = heartbeat_of_incarnation("a", 20, 1);
   CHECK(pwfleet_beat(f, &b, 0, 1100) == PWFLEET_RESTARTED);
   pw_target *t = pwfleet_find(f, "a");
   CHECK(t != old && old->is_gone && !t->is_gone && t->born == 20);
   CHECK(t->inflight == 0 && t->failures == 0 && t->set_aside == 0);
   CHECK(t->cold.until == 0 && pwfleet_usable(f, "s", 1100) == 1);
-  CHECK(t->hash == old->hash);             /* prompts come home to it ... */
-  CHECK(t->short_hash != old->short_hash); /* ... but none lies there */
-  /* what is late of an earlier start, or says of none, changes nothing */
-  b = start("a", 10, 501);
+  CHECK(t->hash == old->hash); /* prompts keep it as home target ... */
+  CHECK(t->short_hash != old->short_hash); /* ... but none is cached there */
+  /* delayed messages of an earlier incarnation, or without one, change nothing */
+  b = heartbeat_of_incarnation("a", 10, 501);
   b.leaving = 1;
   CHECK(pwfleet_beat(f, &b, 0, 1110) == PWFLEET_OLD && !t->is_leaving);
-  b = start("a", 0, 900);
+  b = heartbeat_of_incarnation("a", 0, 900);
   CHECK(pwfleet_beat(f, &b, 0, 1110) == PWFLEET_OLD);
-  b = start("a", 10, 0);
+  b = heartbeat_of_incarnation("a", 10, 0);
   CHECK(pwfleet_beat(f, &b, 1, 1110) == PWFLEET_OLD && !t->is_gone);
   CHECK(pwfleet_renew(f, "a", 10, 502, 1120) == PWFLEET_OLD);
   CHECK(pwfleet_told_silent(f, "a", 10, 1, 1120) == PWFLEET_OLD);
   CHECK(pwfleet_knows(f, "a", 10) && pwfleet_knows(f, "a", 20));
   CHECK(!pwfleet_knows(f, "a", 30) && !pwfleet_knows(f, "b", 0));
-  /* an instance of an older version means the start that is known */
+  /* a message of an instance of an older version names no incarnation and means the known one */
   CHECK(pwfleet_renew(f, "a", PW_BORN_UNTOLD, 2, 1130) == PWFLEET_RENEWED);
-  b = start("a", PW_BORN_UNTOLD, 3);
+  b = heartbeat_of_incarnation("a", PW_BORN_UNTOLD, 3);
   CHECK(pwfleet_beat(f, &b, 0, 1140) == PWFLEET_RENEWED && t->born == 20);
-  b = start("new", PW_BORN_UNTOLD, 1);
+  b = heartbeat_of_incarnation("new", PW_BORN_UNTOLD, 1);
   b.address[0] = '2';
   CHECK(pwfleet_beat(f, &b, 0, 1140) == PWFLEET_JOINED);
   CHECK(pwfleet_find(f, "new")->born == 0);
-  /* it leaves without saying of which start; gone is gone until the next one */
-  b = start("a", 0, 0);
+  /* a target that leaves without naming an incarnation is gone until its next one */
+  b = heartbeat_of_incarnation("a", 0, 0);
   CHECK(pwfleet_beat(f, &b, 1, 1200) == PWFLEET_GONE && t->is_gone);
-  b = start("a", 20, 4);
+  b = heartbeat_of_incarnation("a", 20, 4);
   CHECK(pwfleet_beat(f, &b, 0, 1210) == PWFLEET_OLD);
-  b = start("a", 30, 1);
+  b = heartbeat_of_incarnation("a", 30, 1);
   CHECK(pwfleet_beat(f, &b, 0, 1220) == PWFLEET_RESTARTED);
-  b = start("a", 20, 0);
-  CHECK(pwfleet_beat(f, &b, 1, 1230) == PWFLEET_OLD); /* late */
+  b = heartbeat_of_incarnation("a", 20, 0);
+  CHECK(pwfleet_beat(f, &b, 1, 1230) == PWFLEET_OLD); /* delayed */
   CHECK(!pwfleet_find(f, "a")->is_gone);
-  /* what an earlier start has of ours is waited for */
+  /* an earlier incarnation is kept until its requests and connections have ended */
   pwfleet_tick(f, 1300, NULL, NULL);
   CHECK(pwfleet_retired(f) == old && !old->next_retired);
   old->inflight = old->nconns = 0;
@@ -141,10 +146,10 @@
   pwfleet_free(f);
 }
 
-/* The start goes along, and an instance that knows nothing of starts is understood. */
-static void test_starts_told(void) {
+/* A packed heartbeat carries the incarnation; one of an older version, without the field, is understood. */
+static void test_incarnations_packed(void) {
   Pw__Beat packed;
-  pw_beat b = start("a", 20, 1), got;
+  pw_beat b = heartbeat_of_incarnation("a", 20, 1), got;
   pwtable_pack(&packed, &b, 0, 0, 0);
   pwtable_unpack(&packed, &got);
   CHECK(got.born == 20);
@@ -160,8 +165,8 @@
   CHECK(got.born == PW_BORN_UNTOLD);
 }
 
-/* Heartbeats by other writers: each is set aside, with a reason. */
-static void test_bad_beats(void) {
+/* Malformed heartbeats are rejected with a reason. */
+static void test_bad_heartbeats(void) {
   static const char good[] = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\","
                              "\"zone\":\"z\",\"version\":"
                              "\"v\",\"slots\":8,\"state\":\"ready\","
@@ -223,9 +228,9 @@
   CHECK(plat_read_leave("a", "{", 1, &b, why, sizeof why) == PW_E_BODY);
 }
 
-static void test_set_aside(void) {
+static void test_ejected(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = beat("a", "10.0.0.1:80", 1, 0);
+  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
   pwfleet_beat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
   pwfleet_failed(t, 10);
@@ -237,14 +242,14 @@
   pwfleet_free(f);
 }
 
-/* Errors set a target aside only where others have fewer, and for a while. */
+/* Errors eject a target only while others have fewer, and for a limited time. */
 static void test_errors(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
   char id[8], address[24];
   for (int i = 0; i < 4; i++) {
     snprintf(id, sizeof id, "t%d", i);
     snprintf(address, sizeof address, "10.0.0.%d:80", i + 1);
-    pw_beat b = beat(id, address, 1, 0);
+    pw_beat b = heartbeat(id, address, 1, 0);
     pwfleet_beat(f, &b, 0, 0);
   }
   for (int i = 0; i < 20; i++)
@@ -262,10 +267,11 @@
   pwfleet_free(f);
 }
 
-/* With none usable, one that only failed is better than a refusal. */
+/* If no target is usable, one that is ejected for failures is picked rather than none; one that leaves is
+** not. */
 static void test_last_resort(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = beat("a", "10.0.0.1:80", 1, 0);
+  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
   pwfleet_beat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
   pwfleet_failed(t, 10);
@@ -274,66 +280,68 @@
   pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
   CHECK(got.target == t);
   pwfleet_drop(got.target);
-  b = beat("a", "10.0.0.1:80", 2, 1);
+  b = heartbeat("a", "10.0.0.1:80", 2, 1);
   pwfleet_beat(f, &b, 0, 30);
   CHECK(pwfleet_pick(f, &ask, 40).target == NULL);
   pwfleet_free(f);
 }
 
-/* A heartbeat that was under way for long, of a target that has crashed meanwhile, comes
-** where that target is not known: the one that stands at its address now is found again
-** by its own next heartbeats, and one such heartbeat alone brings nothing back. */
+/* A delayed heartbeat of a target that has crashed meanwhile arrives where that target is unknown, and
+** takes over the address of the target that runs there now. That one comes back with its own next
+** heartbeats, and a single delayed heartbeat does not bring the crashed one back. */
 static void test_late_heartbeat(void) {
   pw_fleet *f = pwfleet_new("az", 1000, 1000);
-  pw_beat b = beat("new", "10.0.0.1:80", 1, 0);
+  pw_beat b = heartbeat("new", "10.0.0.1:80", 1, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
-  b = beat("crashed", "10.0.0.1:80", 40, 0);
+  b = heartbeat("crashed", "10.0.0.1:80", 40, 0);
   CHECK(pwfleet_beat(f, &b, 0, 1100) == PWFLEET_JOINED);
-  b = beat("new", "10.0.0.1:80", 2, 0);
+  b = heartbeat("new", "10.0.0.1:80", 2, 0);
   pwfleet_beat(f, &b, 0, 2000);
-  b = beat("new", "10.0.0.1:80", 3, 0);
-  pwfleet_beat(f, &b, 0, 2010); /* at once after it: that says no more */
+  b = heartbeat("new", "10.0.0.1:80", 3, 0);
+  /* too soon after the last one to count as evidence */
+  pwfleet_beat(f, &b, 0, 2010);
   CHECK(pwfleet_find(f, "new")->is_gone);
-  b = beat("new", "10.0.0.1:80", 4, 0);
+  b = heartbeat("new", "10.0.0.1:80", 4, 0);
   CHECK(pwfleet_beat(f, &b, 0, 3000) == PWFLEET_BACK);
   CHECK(!pwfleet_find(f, "new")->is_gone);
   CHECK(pwfleet_find(f, "crashed")->is_gone);
   CHECK(pwfleet_usable(f, "s", 3000) == 1);
-  b = beat("crashed", "10.0.0.1:80", 41, 0); /* one more that was held up */
+  /* one more delayed heartbeat */
+  b = heartbeat("crashed", "10.0.0.1:80", 41, 0);
   CHECK(pwfleet_beat(f, &b, 0, 3100) == PWFLEET_OLD);
   CHECK(!pwfleet_find(f, "new")->is_gone);
-  /* the same by renewals, as control instances tell each other */
-  b = beat("late", "10.0.0.1:80", 9, 0);
+  /* the same with renewals, which control instances send each other */
+  b = heartbeat("late", "10.0.0.1:80", 9, 0);
   CHECK(pwfleet_beat(f, &b, 0, 3200) == PWFLEET_JOINED);
   CHECK(pwfleet_renew(f, "new", 0, 5, 4000) == PWFLEET_OLD);
   CHECK(pwfleet_renew(f, "new", 0, 6, 5000) == PWFLEET_BACK);
   CHECK(pwfleet_find(f, "late")->is_gone && pwfleet_usable(f, "s", 5000) == 1);
-  /* a gateway believes what control has judged */
-  pw_fleet *told = pwfleet_new("az", 1000, 1000);
-  pwfleet_believe(told);
-  b = beat("new", "10.0.0.1:80", 1, 0);
-  pwfleet_beat(told, &b, 0, 1000);
-  b = beat("crashed", "10.0.0.1:80", 40, 0);
-  pwfleet_beat(told, &b, 0, 1100);
-  b = beat("new", "10.0.0.1:80", 4, 0);
-  CHECK(pwfleet_beat(told, &b, 0, 3000) == PWFLEET_BACK);
-  CHECK(pwfleet_usable(told, "s", 3000) == 1);
-  pwfleet_free(told);
-  /* told of by a table: the one that was heard later stands there */
-  b = beat("older", "10.0.0.1:80", 7, 0);
+  /* a gateway applies what control has decided */
+  pw_fleet *gateway = pwfleet_new("az", 1000, 1000);
+  pwfleet_believe(gateway);
+  b = heartbeat("new", "10.0.0.1:80", 1, 0);
+  pwfleet_beat(gateway, &b, 0, 1000);
+  b = heartbeat("crashed", "10.0.0.1:80", 40, 0);
+  pwfleet_beat(gateway, &b, 0, 1100);
+  b = heartbeat("new", "10.0.0.1:80", 4, 0);
+  CHECK(pwfleet_beat(gateway, &b, 0, 3000) == PWFLEET_BACK);
+  CHECK(pwfleet_usable(gateway, "s", 3000) == 1);
+  pwfleet_free(gateway);
+  /* from a table with an older time: the target that was heard later keeps the address */
+  b = heartbeat("older", "10.0.0.1:80", 7, 0);
   pwfleet_beat(f, &b, 0, 500);
   CHECK(pwfleet_find(f, "older")->is_gone && pwfleet_usable(f, "s", 5000) == 1);
-  /* who has said goodbye stays gone */
+  /* a target that has left stays gone */
   pwfleet_beat(f, &b, 1, 3200);
   for (int i = 0; i < 5; i++) {
-    b = beat("older", "10.0.0.1:80", 10 + (uint64_t)i, 0);
+    b = heartbeat("older", "10.0.0.1:80", 10 + (uint64_t)i, 0);
     CHECK(pwfleet_beat(f, &b, 0, 4000 + 1000 * i) == PWFLEET_OLD);
   }
   pwfleet_free(f);
 }
 
-/* What other gateways told a while ago says nothing of requests that take a moment: not
-** all go to the target that had the fewest then. Of long ones it does. */
+/* Outdated load reports of other gateways must not send all short requests to the target that had
+** the least load at the time of the report. For long requests, of sticky routes, they still hold. */
 static void test_stale_loads(void) {
   enum { TARGETS = 4, PICKS = 400 };
   pw_random r = {.seed = test_seed(15)};
@@ -343,7 +351,7 @@
       char id[16], address[32];
       snprintf(id, sizeof id, "t%d", i);
       snprintf(address, sizeof address, "10.0.0.%d:80", i + 1);
-      pw_beat b = beat(id, address, 1, 0);
+      pw_beat b = heartbeat(id, address, 1, 0);
       pwfleet_beat(f, &b, 0, 0);
     }
     pw_loads all = {0}, own = {0};
@@ -357,33 +365,33 @@
     CHECK(pwfleet_find(f, "t1")->others == 3);
     pwloads_free(&all);
     pwloads_free(&own);
-    pw_target *fewest = pwfleet_find(f, "t0");
-    int to_fewest = 0;
+    pw_target *least_loaded = pwfleet_find(f, "t0");
+    int to_least_loaded = 0;
     for (int i = 0; i < PICKS; i++) {
       pw_fleet_ask ask = {.service = "s",
                           .wait_ms = 1000,
                           .is_sticky = is_sticky,
-                          .stays = 1, /* of no matter here */
+                          .stays = 1, /* has no effect here */
                           .key = pwrand(&r),
                           .how = PWPICK_BY_LOAD,
                           .draw = pwrand_unit(&r),
                           .bound = {2, 2}};
       pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
-      to_fewest += got.target == fewest;
+      to_least_loaded += got.target == least_loaded;
       pwfleet_drop(got.target);
     }
-    printf("sticky %d: %d of %d to the one with the fewest\n", is_sticky,
-           to_fewest, PICKS);
-    CHECK(is_sticky ? to_fewest == PICKS : to_fewest < PICKS / 2);
+    printf("sticky %d: %d of %d to the target with the least load\n", is_sticky,
+           to_least_loaded, PICKS);
+    CHECK(is_sticky ? to_least_loaded == PICKS : to_least_loaded < PICKS / 2);
     pwfleet_free(f);
   }
 }
 
-/* A target takes so many connections from all gateways: past its part a gateway sends
-** nothing there. */
+/* A target with a connection limit gets no request from a gateway that has used up its share of the
+** connections. */
 static void test_connections(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = beat("a", "10.0.0.1:80", 1, 0);
+  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
   pwfleet_beat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
   pw_fleet_ask ask = {
@@ -402,7 +410,7 @@
   pwfleet_free(f);
 }
 
-/* --- picks --- */
+/* --- choice of a target --- */
 
 static void test_pick(void) {
   pw_random r = {.seed = test_seed(12)};
@@ -427,7 +435,7 @@
     CHECK(least < 0 || t[least].is_usable);
     for (int i = 0; least >= 0 && i < n; i++)
       CHECK(!t[i].is_usable || t[i].load + 1 >= t[least].load);
-    /* one that goes moves only its own keys */
+    /* the loss of a target moves only its own keys */
     if (home < 0)
       continue;
     int other = (int)pwrand_below(&r, (uint64_t)n);
@@ -440,16 +448,16 @@
   }
 }
 
-/* While targets are nearly full a prompt stays where it lies: one of which a single
-** slot comes free at a time, at any target, is not spread over all of them. Where others
-** have slots to spare it goes on to those. */
-static void test_pick_stays(void) {
+/* While targets are nearly full a prompt stays at the targets that have it cached: although single slots
+** come free at any target, it is not spread over all of them. It moves to other targets that have
+** slots to spare. */
+static void test_pick_sticks_when_full(void) {
   enum { TARGETS = 18, SLOTS = 48, ROUNDS = 3000 };
   pw_random r = {.seed = test_seed(14)};
   pw_pick_bound bound = {1.6, 2, 0, 0};
   pw_pick t[TARGETS];
   uint64_t key = pwrand(&r);
-  int used[TARGETS] = {0}, places = 0, placed = 0;
+  int used[TARGETS] = {0}, targets_used = 0, placed = 0;
   for (int i = 0; i < TARGETS; i++)
     t[i] = (pw_pick){
         .id = pwrand(&r), .load = SLOTS, .slots = SLOTS, .is_usable = 1};
@@ -459,34 +467,32 @@
     int home = pwpick_home(t, TARGETS, key, bound);
     CHECK(home < 0 || home == freed);
     if (home >= 0) {
-      places += !used[home]++;
+      targets_used += !used[home]++;
       placed++;
     }
     t[freed].load = SLOTS;
   }
-  printf("%d targets hold the prompt, %d of %d placed\n", places, placed,
-         ROUNDS);
-  CHECK(places <= 3 && placed > ROUNDS / 10);
+  printf("%d targets have the prompt cached, %d of %d requests got a slot\n",
+         targets_used, placed, ROUNDS);
+  CHECK(targets_used <= 3 && placed > ROUNDS / 10);
   for (int i = 0; i < TARGETS; i++)
     t[i].load = used[i] ? SLOTS : SLOTS / 2.0;
   int other = pwpick_home(t, TARGETS, key, bound);
   CHECK(other >= 0 && !used[other]);
 }
 
-/* --- the retry budget --- */
-
-/* No window of the budget's length holds more than the ratio and the slack. */
-/* A prompt that this gateway has not sent to its home yet takes what others begin with from where
-** one of them lies: each home read it anew. One that was sent there before takes nothing. */
-static void test_beginning(void) {
+/* A prompt that this gateway has not sent to its home target yet fetches the prefix that it shares with
+** others from a target that has it cached, since the home target would have to compute it again. A prompt
+** that was sent there before fetches nothing. */
+static void test_shared_prefix(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
   pw_fleet_ask ask = {.service = "s",
                       .is_sticky = 1,
                       .key = 42,
                       .bound = {1.6, 2, 0, 0},
                       .part = 1};
-  pw_beat a = beat("a", "10.0.0.1:80", 1, 0);
-  pw_beat b = beat("b", "10.0.0.2:80", 1, 0);
+  pw_beat a = heartbeat("a", "10.0.0.1:80", 1, 0);
+  pw_beat b = heartbeat("b", "10.0.0.2:80", 1, 0);
   pwfleet_beat(f, &a, 0, 1000);
   pwfleet_beat(f, &b, 0, 1000);
   pw_fleet_picked got = pwfleet_pick(f, &ask, 1000);
@@ -507,7 +513,7 @@
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == NULL);
   pwfleet_drop(got.target);
-  other->is_gone = 1; /* what it held is gone */
+  other->is_gone = 1; /* its cache is gone with it */
   ask.beginning = other->short_hash;
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == NULL);
@@ -515,6 +521,9 @@
   pwfleet_free(f);
 }
 
+/* --- retry budget --- */
+
+/* No window of the budget's length has more retries than the ratio and the slack allow. */
 static void test_retries(void) {
   enum { WINDOW = 1000, TIME = 20000 };
   static int requests[TIME], retries[TIME];
@@ -541,6 +550,7 @@
   }
 }
 
+/* The budget is divided among the gateways. */
 static void test_retries_shared(void) {
   pw_retries b;
   pwretries_init(&b, 0, 100, 1000);
@@ -550,54 +560,54 @@
   CHECK(n > 0 && n * 4 <= 100);
 }
 
-/* --- heartbeats as they are passed on --- */
+/* --- target lists in notices --- */
 
-static void count_told(void *arg, const Pw__Beat *in) {
+static void count_valid(void *arg, const Pw__Beat *in) {
   pw_beat b;
   pwtable_unpack(in, &b);
   *(int *)arg += b.slots == 4 && !strcmp(b.service, "s") && b.address[0];
 }
 
-/* Few go as they are, many compressed; all come out again. */
+/* A few heartbeats are packed as they are, many compressed; all are read back. */
 static void test_tables(void) {
   for (int n = 1; n < 400; n += 57) {
     pw_beat b[400];
     Pw__Beat packed[400], *at[400];
     Pw__Notice notice = PW__NOTICE__INIT;
-    int told = 0;
+    int n_valid = 0;
     for (int i = 0; i < n; i++) {
       char id[16];
       snprintf(id, sizeof id, "t%d", i);
-      b[i] = beat(id, "10.0.0.1:80", 1, 0);
+      b[i] = heartbeat(id, "10.0.0.1:80", 1, 0);
       pwtable_pack(&packed[i], &b[i], 0, 0, 5);
       at[i] = &packed[i];
     }
     pwtable_put(at, (size_t)n, &notice);
     CHECK(n < 17 ? notice.n_beats == (size_t)n : notice.table.len > 0);
-    pwtable_read(&notice, count_told, &told);
-    CHECK(told == n);
-    if (notice.table.data) { /* cut short on its way: nothing is believed */
+    pwtable_read(&notice, count_valid, &n_valid);
+    CHECK(n_valid == n);
+    if (notice.table.data) { /* a truncated table is dropped as a whole */
       notice.table.len /= 2;
-      told = 0;
-      pwtable_read(&notice, count_told, &told);
-      CHECK(told == 0);
+      n_valid = 0;
+      pwtable_read(&notice, count_valid, &n_valid);
+      CHECK(n_valid == 0);
     }
     free(notice.table.data);
   }
 }
 
-/* How much longer it is cold than when its heartbeat was told, which came `age` before. */
+/* Remaining cold time of a target whose heartbeat came `age` ms ago. */
 static int64_t cold_left(const pw_beat *b, int64_t age) {
   return b->cold_ms > age ? b->cold_ms - age : 0;
 }
 
-typedef struct seen {
+typedef struct comparison {
   const pw_beat *want;
   int n, wrong;
-} seen;
+} comparison;
 
 static void compare(void *arg, const Pw__Beat *in) {
-  seen *s = arg;
+  comparison *s = arg;
   pw_beat got;
   const pw_beat *want = &s->want[s->n++];
   pwtable_unpack(in, &got);
@@ -610,8 +620,8 @@
               cold_left(&got, in->age) != want->cold_ms;
 }
 
-/* All that is known of a large fleet's targets comes out as it went in, in few bytes:
-** one control instance tells it to hundreds of gateways at once. */
+/* The table of a large fleet is read back unchanged and takes few bytes per target: one control instance
+** may send it to hundreds of gateways at once. */
 static void test_large_table(void) {
   enum { MANY = 3000, BYTES_A_TARGET = 12 };
   static pw_beat b[MANY];
@@ -639,13 +649,13 @@
   }
   pwtable_put(at, MANY, &notice);
   CHECK(notice.table.len <= BYTES_A_TARGET * MANY);
-  seen s = {b, 0, 0};
+  comparison s = {b, 0, 0};
   pwtable_read(&notice, compare, &s);
   CHECK(s.n == MANY && s.wrong == 0);
   free(notice.table.data);
 }
 
-/* --- documents --- */
+/* --- configuration documents --- */
 
 static char *document(pw_random *r, int lines) {
   pw_buf b = {0};
@@ -655,6 +665,8 @@
   return pwbuf_take(&b);
 }
 
+/* A follower that missed versions takes differences or the full document, and rejects outdated and
+** corrupt ones. */
 static void test_documents(void) {
   pw_random r = {.seed = test_seed(14)};
   pw_doc *leader = pwdoc_new(), *follower = pwdoc_new();
@@ -664,7 +676,7 @@
     pwdoc_pack_next(leader, v * 3, text, strlen(text), &d);
     CHECK(pwdoc_take(leader, &d) == PW_OK);
     free(d.data.data);
-    if (pwrand_below(&r, 3) == 0) { /* this one does not hear of it */
+    if (pwrand_below(&r, 3) == 0) { /* the follower misses this version */
       free(text);
       continue;
     }
@@ -699,8 +711,8 @@
 
 /* --- log lines --- */
 
-/* Within the budget whatever is written; failures stay when it is short, and
-** nobody waits for a reader that does not read. */
+/* The log stays within its budget, failures are logged even when the budget is short, and a reader
+** that does not read blocks nobody. */
 static void test_trace(void) {
   int fd[2];
   CHECK(pipe(fd) == 0);
@@ -726,7 +738,8 @@
   CHECK(failures == 100);
   CHECK(b.data && strstr(b.data, "ev=left-out lines=") != NULL);
   pwbuf_free(&b);
-  for (int64_t now = 10000; now < 2000000; now += 10) { /* nobody reads */
+  /* the reader does not read any more */
+  for (int64_t now = 10000; now < 2000000; now += 10) {
     pwtrace_line(t, PWTRACE_FAIL, now, "refused", "x=1");
     pwtrace_flush(t, now);
   }
@@ -739,18 +752,18 @@
 int main(void) {
   TESTS_BEGIN("gateway");
   TEST(test_fleet);
-  TEST(test_starts);
-  TEST(test_starts_told);
-  TEST(test_bad_beats);
-  TEST(test_set_aside);
+  TEST(test_incarnations);
+  TEST(test_incarnations_packed);
+  TEST(test_bad_heartbeats);
+  TEST(test_ejected);
   TEST(test_errors);
   TEST(test_last_resort);
   TEST(test_late_heartbeat);
   TEST(test_stale_loads);
   TEST(test_connections);
   TEST(test_pick);
-  TEST(test_pick_stays);
-  TEST(test_beginning);
+  TEST(test_pick_sticks_when_full);
+  TEST(test_shared_prefix);
   TEST(test_retries);
   TEST(test_retries_shared);
   TEST(test_tables);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -1,5 +1,5 @@
-/* test_link.c: a gateway's links to control instances: whom it asks for a newer
-** configuration when all of them tell of it at once. */
+/* test_link.c: a gateway's links to control instances: how it dials them, chooses its primary, and
+** requests a newer configuration from only one when all of them report it at once. */
 #include "platform.h"
 #include "pwgate.h"
 #include "pwpb.h"
@@ -14,16 +14,19 @@
 #define CONTROLS 5
 #define TRIES 1000
 #define TRY_MS 5
-#define TURNS 4
-#define WATCH_MS 100000 /* nobody is silent for that long here */
-#define ASK_MS                                                                 \
-  2000 /* a document that did not come is asked for again by then */
-#define LONG_MS 8000 /* gateways go back to their first by then */
+#define ITERATIONS 4
+#define WATCH_MS 100000 /* longer than any silence in these tests */
 
-/* What answers as a control instance. */
+/* After this time a document that did not come is requested again. */
+#define ASK_MS 2000
+
+/* After this time gateways have returned to their preferred control instance. */
+#define LONG_MS 8000
+
+/* A fake control instance. */
 typedef struct control {
   pw_sock *sock;
-  pw_peer gateway; /* as it watches */
+  pw_peer gateway; /* the sender of its last watch message */
   int watched, wanted, is_primary;
 } control;
 
@@ -31,10 +34,10 @@
   pw_settings set;
   pw_proc p;
   pw_gate g;
-  pw_wire *far; /* of the control instances */
+  pw_wire *far; /* transport of the control instances */
   control c[CONTROLS];
-  int64_t now;  /* what the gateway's ticks are told, ms ... */
-  int64_t step; /* ... and how far it goes on in a turn */
+  int64_t now;  /* the time passed to the gateway's ticks, ms */
+  int64_t step; /* advance of that time in each iteration, ms */
 } bed;
 
 static void begin(bed *b) {
@@ -90,7 +93,7 @@
   pwcount_free(b->p.counters);
 }
 
-static void hear(control *c) {
+static void receive(control *c) {
   pw_peer from;
   Pw__Envelope *e;
   while ((e = pwwire_recv(c->sock, &from)) != NULL) {
@@ -104,12 +107,12 @@
   }
 }
 
-static void turn(bed *b) {
+static void iterate(bed *b) {
   b->now += b->step;
   pwlink_tick(b->g.link, b->now);
   ev_run(b->g.ev, EVRUN_NOWAIT);
   for (int i = 0; i < CONTROLS; i++)
-    hear(&b->c[i]);
+    receive(&b->c[i]);
   poll(NULL, 0, TRY_MS);
 }
 
@@ -141,11 +144,12 @@
 #define UNTIL(b, condition)                                                    \
   do {                                                                         \
     for (int i_ = 0; i_ < TRIES && !(condition); i_++)                         \
-      turn(b);                                                                 \
+      iterate(b);                                                              \
     CHECK(condition);                                                          \
   } while (0)
 
-static void tell_touch(control *c, uint64_t site, int full, int in_touch) {
+static void send_notice_contact(control *c, uint64_t site, int full,
+                                int in_touch) {
   Pw__Notice n = PW__NOTICE__INIT;
   n.site = site;
   n.in_touch = in_touch;
@@ -155,113 +159,116 @@
   pwwire_send(c->sock, &c->gateway, &e);
 }
 
-static void tell(control *c, uint64_t site, int full) {
-  tell_touch(c, site, full, 1);
+static void send_notice(control *c, uint64_t site, int full) {
+  send_notice_contact(c, site, full, 1);
 }
 
-/* After a start control instances are dialled one after another. */
-static void test_dials_in_turn(void) {
+/* A gateway that starts dials control instances one after another. If it dialled all at once, a hundred
+** gateways that start together would load all of them with connections at the same time. */
+static void test_dials_one_by_one(void) {
   bed b;
   begin(&b);
   b.step = 0;
   b.now += LONG_MS;
   for (int n = 1; n <= CONTROLS; n++) {
     UNTIL(&b, watched(&b) == n);
-    for (int i = 0; i < TURNS; i++)
-      turn(&b);
+    for (int i = 0; i < ITERATIONS; i++)
+      iterate(&b);
     CHECK(watched(&b) == n);
     b.now += LONG_MS;
   }
   end(&b);
 }
 
-/* All are in touch, and one is relied on. */
+/* Begins with links to all control instances and one of them chosen as primary. */
 static void begin_with_primary(bed *b) {
   begin(b);
   UNTIL(b, watched_by_all(b));
   for (int i = 0; i < CONTROLS; i++)
-    tell(&b->c[i], 0, 0);
+    send_notice(&b->c[i], 0, 0);
   UNTIL(b, primary(b) != NULL);
 }
 
-/* All tell of version 7 at once: the primary is asked, once, and nobody else. */
-static void test_asks_one(void) {
+/* All report version 7 at once: it is requested once, from the primary alone. */
+static void test_requests_from_primary(void) {
   bed b;
   begin_with_primary(&b);
   for (int i = 0; i < CONTROLS; i++)
-    tell(&b.c[i], 7, b.c[i].is_primary);
+    send_notice(&b.c[i], 7, b.c[i].is_primary);
   UNTIL(&b, wanted(&b) > 0);
   CHECK(wanted(&b) == 1);
   CHECK(primary(&b)->wanted == 1);
-  UNTIL(&b, wanted(&b) > 1); /* it does not come: of the same again */
+  /* it does not come: requested again from the primary */
+  UNTIL(&b, wanted(&b) > 1);
   CHECK(primary(&b)->wanted == wanted(&b));
   end(&b);
 }
 
-/* The primary has not got it: after a while another one is asked. */
-static void test_asks_another(void) {
+/* The primary does not have the version: it is requested from another instance after a while. */
+static void test_requests_from_another(void) {
   bed b;
   begin_with_primary(&b);
   for (int i = 0; i < CONTROLS; i++)
-    tell(&b.c[i], b.c[i].is_primary ? 0 : 7, b.c[i].is_primary);
+    send_notice(&b.c[i], b.c[i].is_primary ? 0 : 7, b.c[i].is_primary);
   UNTIL(&b, wanted(&b) > 0);
   CHECK(wanted(&b) == 1);
   CHECK(primary(&b)->wanted == 0);
   end(&b);
 }
 
-/* All tell all targets and of a newer configuration, which shows that it was heard; `by`: who
-** is primary then, NULL: whoever. Then long passes. */
-static void tell_all(bed *b, uint64_t site, const control *by) {
+/* All instances send full lists and report a newer configuration; the request for it shows that the
+** gateway has read them. `by`: the primary expected then; NULL: any. Then LONG_MS pass. */
+static void send_all_notices(bed *b, uint64_t site, const control *by) {
   int before = wanted(b);
   b->step = 0;
   b->now += ASK_MS;
   for (int i = 0; i < CONTROLS; i++)
-    tell(&b->c[i], site, 1);
+    send_notice(&b->c[i], site, 1);
   UNTIL(b, wanted(b) > before);
-  for (int i = 0; i < TURNS; i++)
-    turn(b);
+  for (int i = 0; i < ITERATIONS; i++)
+    iterate(b);
   CHECK(!by || primary(b) == by);
   b->step = TRY_MS;
   b->now += LONG_MS;
-  for (int i = 0; i < TURNS; i++)
-    turn(b);
+  for (int i = 0; i < ITERATIONS; i++)
+    iterate(b);
 }
 
-/* The primary is out of touch for long while another one is in touch, which all gateways
-** then rely on; when all are well, each goes back to the first of its own order. */
-static void test_goes_back(void) {
+/* The primary loses contact with its leader for long while another instance has it, so the gateway
+** switches to that one. When all are healthy again, it returns to the instance that it prefers.
+** Otherwise all gateways would stay at one instance after a fault. */
+static void test_returns_to_preferred(void) {
   bed b;
   begin(&b);
   UNTIL(&b, watched_by_all(&b));
-  for (uint64_t site = 1; site <= 3;
-       site++) /* whom it heard before the others */
-    tell_all(&b, site, NULL);
+  /* the first primary may just be the first one heard */
+  for (uint64_t site = 1; site <= 3; site++)
+    send_all_notices(&b, site, NULL);
   control *first = primary(&b);
   CHECK(first != NULL);
-  tell_all(&b, 4, NULL);
+  send_all_notices(&b, 4, NULL);
   CHECK(primary(&b) == first);
   control *second = first == b.c ? &b.c[1] : b.c;
   b.step = 0;
   for (int i = 0; i < CONTROLS; i++)
-    tell_touch(&b.c[i], 5, 0, &b.c[i] == second);
+    send_notice_contact(&b.c[i], 5, 0, &b.c[i] == second);
   b.now += ASK_MS;
   int before = wanted(&b);
   UNTIL(&b, wanted(&b) > before);
-  CHECK(primary(&b) == first); /* it may be in touch again any moment */
+  CHECK(primary(&b) == first); /* a short loss of contact is tolerated */
   b.step = TRY_MS;
   b.now += LONG_MS;
   UNTIL(&b, primary(&b) == second);
-  tell_all(&b, 6, second);
+  send_all_notices(&b, 6, second);
   UNTIL(&b, primary(&b) == first);
   end(&b);
 }
 
 int main(void) {
   TESTS_BEGIN("link");
-  TEST(test_dials_in_turn);
-  TEST(test_asks_one);
-  TEST(test_asks_another);
-  TEST(test_goes_back);
+  TEST(test_dials_one_by_one);
+  TEST(test_requests_from_primary);
+  TEST(test_requests_from_another);
+  TEST(test_returns_to_preferred);
   TESTS_END();
 }
