--- a/packages/gateway/pwexint.h
+++ b/packages/gateway/pwexint.h
@@ -22,22 +22,22 @@
 struct pw_exchange {
   pw_gate *g;
   pw_conn *caller;
-  pw_site *site; /* the configuration under which it was admitted */
+  pw_site *site; /* the configuration under which the request was admitted */
   const pw_site_route *route;
   const pw_site_service *service;
   const pw_site_workspace *workspace; /* or NULL */
   pw_gate_service *service_state;
   pw_ask ask;
-  uint64_t fingerprint; /* hash of its content, without the request id */
+  uint64_t fingerprint; /* hash of the request's content, without its id */
   int64_t arrived, deadline_at, timeout_at; /* ms */
   ev_timer timer;
   int64_t timer_at; /* when the timer expires, ms */
-  /* It waits for a configuration; route, service and the fields that depend on them
-  ** are not set yet. */
+  /* The request waits for a configuration; route, service and the fields that depend
+  ** on them are not set yet. */
   int is_awaiting;
   pw_exchange *prev, *next; /* in the list of waiting requests */
 
-  pw_fleet_side side;   /* the versions of the service that it may go to */
+  pw_fleet_side side;   /* the version of the service to which it may be sent */
   int urgency;          /* 0 is the most urgent */
   int is_deprioritized; /* admitted after others of the same urgency */
   /* A retry of the caller after at least this delay is recognised as one, ms. */
@@ -45,32 +45,32 @@
 
   /* current attempt */
   pw_target *t; /* NULL: none */
-  /* Another target that has its prompt cached, or NULL. Not reference-counted. */
+  /* Another target that has the prompt cached, or NULL. No reference is held. */
   pw_target *holder;
   pw_upconn *u;
-  int is_sent; /* bytes of it have been sent to t */
+  int is_sent; /* bytes of the request have been sent to t */
   int64_t sent_at;
   int64_t sent_stalled_ms;    /* the event loop's total stall time at sent_at */
-  int64_t first_forwarded_at; /* when its first chunk was forwarded */
-  int nchunks;                /* chunks forwarded */
-  int64_t forwarded_at;       /* when its last chunk was forwarded */
+  int64_t first_forwarded_at; /* time of the first chunk of the answer */
+  int nchunks;                /* chunks of the answer that were forwarded */
+  int64_t forwarded_at;       /* time of the last chunk */
   int64_t longest_pause;
 
   /* past attempts */
   pw_target *tried[PWEX_TRIED_MAX];
   int ntried;
-  int runs;             /* targets that may have run it */
-  int hops;             /* targets that proved that they did not run it */
+  int runs; /* targets that may have run the request */
+  int hops; /* targets that proved that they did not run the request */
   int connect_failures; /* connections that could not be made */
   int may_have_run;
-  int needs_new_conn; /* sent again to the same target, over a new connection */
+  int needs_new_conn; /* sent again to the same target, not over a pooled connection */
 
   /* answer */
   pw_told answer_info;
   int status;
   int is_event_stream; /* forwarded event by event */
   int is_too_large;    /* larger than PWEX_HELD_MAX */
-  int has_begun;       /* the caller has its head */
+  int has_begun;       /* the caller has been sent the head */
   int is_paused;       /* the caller reads too slowly */
   pw_buf headers;      /* for the caller */
   pw_buf buffered;     /* the answer, or the beginning of an event */
@@ -92,21 +92,22 @@
 ** this process was stalled. */
 int64_t pwexi_at_target(const pw_exchange *x, int64_t at);
 
-/* Ms until it must have ended. */
+/* Ms until the caller's deadline or the route's time-out, whichever is first. */
 int64_t pwexi_time_left(const pw_exchange *x);
 
-/* Ends it with an error code, or by breaking off an answer that has begun. */
+/* Ends the exchange with an error code, or by breaking off an answer that has begun. */
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms);
 void pwexi_break(pw_exchange *x, const char *why);
 
-/* Ends it truthfully: breaks off an answer that has begun, reports an unknown outcome if it may have
-** run, and else refuses it with `code`, which promises that it did not run. */
+/* Ends a failed exchange by what is known of it: breaks off an answer that has begun, reports an unknown
+** outcome if the request may have run, and else refuses it with `code`, which promises that the request
+** did not run. */
 void pwexi_give_up(pw_exchange *x, pw_code code, const char *why,
                    int64_t retry_ms);
 
-/* Ends it when its time was over a while ago, as after the instance was suspended. Returns whether it
-** was ended. */
+/* Ends an exchange whose time was over a while ago, as after the instance was suspended. Returns whether
+** the exchange was ended. */
 int pwexi_end_late(pw_exchange *x, int64_t now);
 
 /* --- pwexsend.c --- */
@@ -114,12 +115,12 @@
 /* Picks a target and sends the request there, or ends it. */
 void pwexi_place(pw_exchange *x);
 
-/* Sends it to x->t; -1: no connection can be made. */
+/* Sends the request to x->t; -1: no connection can be made. */
 int pwexi_send(pw_exchange *x);
 
 /* --- pwexseen.c --- */
 
-/* Counts a failure of the target's own, or an answer that came too late, against its version. */
+/* Counts a failure of the target, or an answer that came too late, against the version of the target. */
 void pwexi_seen_bad(const pw_exchange *x);
 
 /* Counts a successful answer, complete at `now`, for the version of its target; a slow one against it. */
@@ -138,7 +139,7 @@
 ** proves nothing: that target may not have begun to run it. */
 void pwexi_note_answered(pw_exchange *x, int64_t now);
 
-/* Ends it when it is in quarantine. Returns whether it was ended. */
+/* Ends the exchange if its request is in quarantine. Returns whether it was ended. */
 int pwexi_end_quarantined(pw_exchange *x, int64_t now);
 
 /* Releases the target and dispatches the request again. */
--- a/packages/gateway/pwfollow.c
+++ b/packages/gateway/pwfollow.c
@@ -1,12 +1,13 @@
 /* pwfollow.c: fetches newer configurations of a gateway, reads them and applies them. */
 #include "pwlinkint.h"
 
-#define ASK_AGAIN_MS 300 /* a document that did not come is requested again */
+/* A document that did not come is requested again after this time, ms. */
+#define REQUEST_RETRY_MS 300
 
 /* A newer document is requested from the primary. If the primary has not reported it after this
 ** time, ms, it is requested from another control instance, and from the next one after each further such
 ** time. */
-#define ASK_OTHER_MS 1000
+#define REQUEST_OTHER_MS 1000
 
 /* --- requests --- */
 
@@ -36,24 +37,24 @@
 ** would get 515 copies of 35 KB, which kept the links of five control instances busy for 5 s, with
 ** votes and leases queued behind them. */
 void pwfollow_ask(pw_link *l, int64_t now) {
-  int behind = 0;
+  int nnewer = 0;
   for (const contact *c = l->contacts; c; c = c->next)
-    behind += has_newer(l, c, now);
-  if (!behind) {
+    nnewer += has_newer(l, c, now);
+  if (!nnewer) {
     l->behind_at = 0;
     return;
   }
   if (!l->behind_at)
     l->behind_at = now;
-  if (now - l->requested_at < ASK_AGAIN_MS)
+  if (now - l->requested_at < REQUEST_RETRY_MS)
     return;
-  int turn = (int)((now - l->behind_at) / ASK_OTHER_MS);
+  int round = (int)((now - l->behind_at) / REQUEST_OTHER_MS);
   int primary_has_newer = l->primary && has_newer(l, l->primary, now);
   if (l->primary && !primary_has_newer && pwlink_is_fresh(l->primary, now) &&
-      turn-- == 0)
+      round-- == 0)
     return;
   l->requested_at = now;
-  l->requested_from = nth_newer(l, turn % behind, now);
+  l->requested_from = nth_newer(l, round % nnewer, now);
   pwlink_send_watch(l, l->requested_from, 1, now);
 }
 
--- a/packages/gateway/pwgate.h
+++ b/packages/gateway/pwgate.h
@@ -101,7 +101,7 @@
 int pwgate_may_serve(pw_gate *g);
 
 /* Updates the counters and logs when a request enters or leaves quarantine. `how` is the
-** source of the news: "seen" here, "told" by another gateway, or "kept" by a control instance. */
+** source of the change: "seen" here, "told" by another gateway, or "kept" by a control instance. */
 void pwgate_note_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_news news,
                          const char *how);
 
@@ -160,7 +160,7 @@
 
 /* --- pwunderway.c --- */
 
-/* Answers with a list of the requests in flight, the oldest first. */
+/* Answers with a JSON list of the requests in flight, the oldest first. */
 void pwunderway_answer(pw_gate *g, pw_conn *c);
 
 /* --- pwupconn.c --- */
--- a/packages/gateway/pwgossip.c
+++ b/packages/gateway/pwgossip.c
@@ -38,7 +38,7 @@
 struct pw_gossip {
   pw_gate *g;
   int fd;
-  peer *peers;         /* the first is this gateway itself */
+  peer *peers;         /* [0] is this gateway itself */
   pw_sight_peer *view; /* of each peer, for the choice of aggregators */
   int npeers;
   uint64_t seq;
@@ -71,7 +71,7 @@
 }
 
 /* Puts a peer at index `at` of the new lists, with its state if it is in the old ones. */
-static void take_peer(pw_gossip *s, const struct sockaddr_in *addr, peer *peers,
+static void move_peer(pw_gossip *s, const struct sockaddr_in *addr, peer *peers,
                       pw_sight_peer *view, int at) {
   int old = find(s, addr);
   view[at] = (pw_sight_peer){.hash = hash_of(addr), .is_self = at == 0};
@@ -97,11 +97,11 @@
   pw_sight_peer *view = pw_alloc(sizeof *view * (n + 1));
   struct sockaddr_in self = s->peers[0].addr;
   int count = 1;
-  take_peer(s, &self, peers, view, 0);
+  move_peer(s, &self, peers, view, 0);
   for (size_t i = 0; i < n; i++) {
     struct sockaddr_in addr;
     if (pwtcp_address(address[i], &addr) == 0 && !same_addr(&addr, &self))
-      take_peer(s, &addr, peers, view, count++);
+      move_peer(s, &addr, peers, view, count++);
   }
   free_peers(s);
   s->peers = peers;
@@ -258,12 +258,12 @@
   }
 }
 
-/* Fills `who` with the members that report here; returns their number. */
-static int reporters(const pw_gossip *s, int *who, int64_t now) {
+/* Fills `members` with the gateways that report here; returns their number. */
+static int reporters(const pw_gossip *s, int *members, int64_t now) {
   int n = 0;
   for (int i = 1; i < s->npeers; i++)
     if (is_fresh(&s->peers[i].own, now))
-      who[n++] = i;
+      members[n++] = i;
   return n;
 }
 
@@ -294,18 +294,18 @@
   if (now - s->summed_at < SUM_MS)
     return;
   s->summed_at = now;
-  int *who = pw_alloc(sizeof *who * ((size_t)s->npeers + groups));
-  int n = reporters(s, who, now), naggregators = 0;
+  int *members = pw_alloc(sizeof *members * ((size_t)s->npeers + groups));
+  int n = reporters(s, members, now), naggregators = 0;
   pwloads_clear(&s->sum);
   if (is_aggregator) {
     count_own(s, now);
     add_all(&s->sum, &s->own);
   }
   for (int i = 0; i < n; i++)
-    pwtold_add(&s->peers[who[i]].own, &s->sum);
+    pwtold_add(&s->peers[members[i]].own, &s->sum);
   if (is_aggregator || n)
     naggregators =
-        send_group_sum(s, groups, own_group, is_aggregator, who + n, now);
+        send_group_sum(s, groups, own_group, is_aggregator, members + n, now);
   if (is_aggregator) {
     pwloads_clear(&s->all);
     add_all(&s->all, &s->sum);
@@ -314,10 +314,10 @@
         pwtold_add(&s->peers[i].sum, &s->all);
     apply_loads(s, AGE_GROUPS_MS);
   }
-  send_loads(s, PWTOLD_TOTAL, &s->all, &s->prompts_down, who, n);
-  send_suspects(s, who, n + naggregators, now);
+  send_loads(s, PWTOLD_TOTAL, &s->all, &s->prompts_down, members, n);
+  send_suspects(s, members, n + naggregators, now);
   s->prompts_down.n = 0;
-  free(who);
+  free(members);
 }
 
 void pwgossip_tick(pw_gossip *s, int64_t now) {
@@ -340,7 +340,7 @@
 
 /* --- incoming messages --- */
 
-static void take_total(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
+static void handle_total(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
   if (!pwtold_take(&s->total, m, now))
     return;
   pwloads_clear(&s->all);
@@ -350,7 +350,7 @@
 
 /* Records announced prompts. Those from a member are forwarded to all groups, those from another
 ** group to the members of this one. */
-static void take_prompts(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
+static void handle_prompts(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
   for (size_t i = 0; i < m->n_keys && i < m->n_places; i++) {
     pwwhere_note(s->g->affinity, m->keys[i], m->places[i], now);
     if (m->kind == PWTOLD_REPORT)
@@ -378,12 +378,12 @@
   if (m->kind == PWTOLD_TOTAL || m->kind == PWTOLD_SUM)
     pwsight_heard(&s->view[i]);
   if (m->kind == PWTOLD_TOTAL)
-    take_total(s, m, now);
+    handle_total(s, m, now);
   else if (m->kind == PWTOLD_SUM)
     pwtold_take(&s->peers[i].sum, m, now);
   else
     pwtold_take(&s->peers[i].own, m, now);
-  take_prompts(s, m, now);
+  handle_prompts(s, m, now);
 }
 
 static void on_io(struct ev_loop *ev, ev_io *w, int events) {
--- a/packages/gateway/pwlink.c
+++ b/packages/gateway/pwlink.c
@@ -32,15 +32,16 @@
 
 /* A gateway returns to its most preferred control instance when that one has been healthy for this
 ** time, plus a share of the spread that differs for each gateway, ms. */
-#define GO_BACK_MS 2000
-#define GO_BACK_SPREAD_MS 4000
+#define RETURN_MS 2000
+#define RETURN_SPREAD_MS 4000
 
 /* Delay between dialling one control instance and the next, ms: until the first one has answered, and
 ** from then on. */
 #define DIAL_FIRST_MS 150
 #define DIAL_MS 300
 
-#define FORGET_MS 20000 /* a control instance silent for this time is dropped */
+/* A control instance that was silent for this time is dropped, ms. */
+#define DROP_SILENT_MS 20000
 
 /* A configuration counts as current after this time, ms, if no control instance could confirm it. */
 #define UNCONFIRMED_MS 1500
@@ -217,7 +218,7 @@
   for (contact **at = &l->contacts; *at;) {
     contact *c = *at;
     int64_t since = c->heard_at ? c->heard_at : c->known_at;
-    if (c->is_seed || now - since < FORGET_MS) {
+    if (c->is_seed || now - since < DROP_SILENT_MS) {
       at = &c->next;
       continue;
     }
@@ -257,7 +258,7 @@
 /* Whether to return to the most preferred control instance, which is healthy again. Otherwise gateways
 ** that have all failed over to one instance would stay there for good, and its network link alone would
 ** carry tables and documents for all of them. */
-static int may_go_back(pw_link *l, const contact *best, int64_t now) {
+static int may_return(pw_link *l, const contact *best, int64_t now) {
   const contact *p = l->primary;
   if (!p || !l->has_full_list || !best->has_leader || !p->has_leader ||
       pwlink_rank(l, best) < pwlink_rank(l, p)) {
@@ -265,7 +266,7 @@
     return 0;
   }
   int64_t pause =
-      GO_BACK_MS + (int64_t)(pwlink_rank(l, best) % GO_BACK_SPREAD_MS);
+      RETURN_MS + (int64_t)(pwlink_rank(l, best) % RETURN_SPREAD_MS);
   return now - l->best_primary_at > pause;
 }
 
@@ -276,7 +277,7 @@
   for (contact *c = l->contacts; c; c = c->next)
     if (pwlink_is_fresh(c, now) && c != l->primary && is_better(l, c, best))
       best = c;
-  if (!best || !(must_choose(l, best, now) | may_go_back(l, best, now)))
+  if (!best || !(must_choose(l, best, now) | may_return(l, best, now)))
     return;
   contact *old = l->primary;
   if (old && !l->has_full_list && l->full_wait_ms < FULL_LIST_MAX_MS)
