--- a/packages/consensus/pwcons.c
+++ b/packages/consensus/pwcons.c
@@ -1,5 +1,5 @@
-/* pwcons.c: consensus of the control group, as a pure state machine: what goes
-** in and out, time, membership, state. */
+/* pwcons.c: consensus of the control group: input and output of the state
+** machine, timers, configuration changes, accessors. */
 #include "pwconsint.h"
 
 #include "pwbuf.h"
@@ -9,17 +9,16 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Who may not be voted for yet asks again after this part of a lease to twice as
-** long. */
-#define ASK_AGAIN_PART 10
+/* A pre-vote that failed is retried after this fraction of a lease, to twice that time. */
+#define PREVOTE_RETRY_DIV 10
 
-/* Votes that were split are asked for again after this part of a lease to half a lease
-** more: much longer than a vote takes, so that one asks before the others. */
-#define SPLIT_PART 5
+/* An election that failed is retried after this fraction of a lease, to half a lease more. The
+** random spread is much longer than a vote takes, so that split votes do not repeat. */
+#define VOTE_RETRY_DIV 5
 
-/* Who has just started asks after this part of a lease to twice as long: where all have
-** just started they need not wait for a lease that nobody holds. */
-#define ASK_FIRST_PART 25
+/* The first pre-vote after a start comes after this fraction of a lease, to twice that time:
+** when all members have just started, they need not wait for a lease that nobody holds. */
+#define FIRST_PREVOTE_DIV 25
 
 int pwci_is_voter(const pw_cons *c, uint64_t id) {
   for (int i = 0; i < c->config.n; i++)
@@ -46,24 +45,25 @@
   return NULL;
 }
 
-/* Keeps the progress of members that stay, starts that of new ones. */
+/* Rebuilds the progress list for a configuration: members that stay keep their progress, new
+** ones start with none. */
 static void rebuild_peers(pw_cons *c) {
-  pw_progress kept[PWCONS_MEMBERS];
+  pw_progress peers[PWCONS_MEMBERS];
   int n = 0;
   for (int i = 0; i < c->config.n; i++) {
     uint64_t id = c->config.m[i].id;
     const pw_progress *p = pwci_peer_of(c, id);
     if (p)
-      kept[n] = *p;
+      peers[n] = *p;
     else
-      kept[n] = (pw_progress){.id = id,
-                              .next = pwconslog_last(&c->log) + 1,
-                              .heard = c->now,
-                              .round = INT64_MIN / 2,
-                              .snap_at = INT64_MIN / 2};
+      peers[n] = (pw_progress){.id = id,
+                               .next = pwconslog_last(&c->log) + 1,
+                               .heard = c->now,
+                               .echoed = INT64_MIN / 2,
+                               .snapshot_sent_at = INT64_MIN / 2};
     n++;
   }
-  memcpy(c->peer, kept, sizeof kept[0] * (size_t)n);
+  memcpy(c->peer, peers, sizeof peers[0] * (size_t)n);
   c->npeers = n;
 }
 
@@ -78,23 +78,24 @@
   return XXH3_64bits(in, sizeof in);
 }
 
-static void plan(pw_cons *c, int64_t least, int64_t spread) {
+static void set_election_timer(pw_cons *c, int64_t least, int64_t spread) {
   uint64_t r = draw(c);
   c->election_at = c->now + least + (int64_t)(r % (uint64_t)(spread + 1));
 }
 
-void pwci_plan_election(pw_cons *c) {
-  plan(c, c->lease, c->lease / 2);
+void pwci_reset_election_timer(pw_cons *c) {
+  set_election_timer(c, c->lease, c->lease / 2);
 }
 
-void pwci_plan_again(pw_cons *c, int pre) {
+void pwci_set_retry_timer(pw_cons *c, int pre) {
   if (pre)
-    plan(c, c->lease / ASK_AGAIN_PART, c->lease / ASK_AGAIN_PART);
+    set_election_timer(c, c->lease / PREVOTE_RETRY_DIV,
+                       c->lease / PREVOTE_RETRY_DIV);
   else
-    plan(c, c->lease / SPLIT_PART, c->lease / 2);
+    set_election_timer(c, c->lease / VOTE_RETRY_DIV, c->lease / 2);
 }
 
-/* A term that is not stored yet is spoken of only after the sync. */
+/* While term or vote are not stored, every message waits for the sync. */
 Pw__Cons *pwci_send(pw_cons *c, pw_outbox *box, pw_cons_type type,
                     uint64_t to) {
   if (c->hard_dirty)
@@ -134,7 +135,7 @@
   c->role = PWCONS_FOLLOWER;
   c->leader = leader;
   c->transferring = 0;
-  pwci_plan_election(c);
+  pwci_reset_election_timer(c);
 }
 
 void pwcons_step(pw_cons *c, int64_t now, const Pw__Cons *m) {
@@ -173,7 +174,7 @@
   }
 }
 
-/* A leader that no quorum has answered within the lease steps down. */
+/* A leader steps down if no quorum has replied within the lease. */
 static void check_quorum(pw_cons *c) {
   int n = 0;
   for (int i = 0; i < c->npeers; i++) {
@@ -192,7 +193,7 @@
     check_quorum(c);
     if (c->transferring && c->now - c->since > c->lease)
       pwci_become_follower(c, c->term, 0);
-    if (c->role == PWCONS_LEADER && c->now >= c->beat_at)
+    if (c->role == PWCONS_LEADER && c->now >= c->heartbeat_at)
       pwci_broadcast(c);
     return;
   }
@@ -200,7 +201,7 @@
     if (pwci_is_voter(c, c->id))
       pwci_campaign(c, 1, 0);
     else
-      pwci_plan_election(c);
+      pwci_reset_election_timer(c);
   }
 }
 
@@ -214,7 +215,7 @@
   return PW_OK;
 }
 
-/* How many voters differ between two configurations. */
+/* The number of voters that only one of two configurations has. */
 static int voters_changed(const pw_cons_config *a, const pw_cons_config *b) {
   int changed = 0;
   for (int side = 0; side < 2; side++) {
@@ -249,32 +250,32 @@
   return PW_OK;
 }
 
-/* New entries of a leader go out with the next ready, not the next beat. */
-static void send_fresh(pw_cons *c) {
+/* A leader sends new entries at once rather than with the next heartbeat. */
+static void send_new_entries(pw_cons *c) {
   if (c->role != PWCONS_LEADER)
     return;
   uint64_t last = pwconslog_last(&c->log);
   for (int i = 0; i < c->npeers; i++) {
     pw_progress *p = &c->peer[i];
-    if (p->id != c->id && p->next <= last && p->next <= p->match + AHEAD_MAX &&
-        p->next > c->log.snapshot->index)
+    if (p->id != c->id && p->next <= last &&
+        p->next <= p->match + UNACKED_MAX && p->next > c->log.snapshot->index)
       pwci_send_append(c, p);
   }
 }
 
 int pwcons_ready(pw_cons *c, pw_cons_ready *r) {
-  send_fresh(c);
+  send_new_entries(c);
   uint64_t last = pwconslog_last(&c->log);
   *r = (pw_cons_ready){.term = c->term, .vote = c->vote};
-  free(c->fresh);
-  c->fresh = NULL;
+  free(c->unsynced);
+  c->unsynced = NULL;
   r->install = c->install_dirty ? c->log.snapshot : NULL;
   if (last > c->synced) {
     r->nentries = (size_t)(last - c->synced);
-    c->fresh = pw_alloc(sizeof(Pw__Entry *) * r->nentries);
+    c->unsynced = pw_alloc(sizeof(Pw__Entry *) * r->nentries);
     for (size_t i = 0; i < r->nentries; i++)
-      c->fresh[i] = pwconslog_at(&c->log, c->synced + 1 + i);
-    r->entries = c->fresh;
+      c->unsynced[i] = pwconslog_at(&c->log, c->synced + 1 + i);
+    r->entries = c->unsynced;
   }
   r->must_sync = c->hard_dirty || r->nentries || r->install;
   r->early = c->early.m;
@@ -365,14 +366,14 @@
     return 0;
   if (PW_MUTATION == MUT_LEASE_FOREVER)
     return 1;
-  if (!pwci_is_voter(c, c->id)) /* new voters do not ask it whether it leads */
+  if (!pwci_is_voter(c, c->id)) /* voters added later may elect without it */
     return 0;
   int64_t length = c->lease * LEASE_NUM / LEASE_DEN;
   int n = 0;
   for (int i = 0; i < c->npeers; i++) {
     const pw_progress *p = &c->peer[i];
     if (pwci_is_voter(c, p->id))
-      n += p->id == c->id || now < p->round + length;
+      n += p->id == c->id || now < p->echoed + length;
   }
   return n >= pwci_quorum(c);
 }
@@ -438,11 +439,13 @@
   c->commit = s->snapshot->index;
   c->applied = c->commit;
   c->synced = pwconslog_last(&c->log);
-  c->heard_leader = s->now; /* it may have promised a lease before it stopped */
+  c->heard_leader =
+      s->now; /* a lease granted before the restart may still run */
   c->is_new = 1;
-  c->life = draw(c);
+  c->incarnation = draw(c);
   pwci_reload_config(c);
-  plan(c, c->lease / ASK_FIRST_PART, c->lease / ASK_FIRST_PART);
+  set_election_timer(c, c->lease / FIRST_PREVOTE_DIV,
+                     c->lease / FIRST_PREVOTE_DIV);
   if (c->config.n == 1 && pwci_is_voter(c, c->id)) {
     c->heard_leader = s->now - s->lease;
     pwci_campaign(c, 0, 0);
@@ -457,7 +460,7 @@
   clear_box(&c->late);
   free(c->early.m);
   free(c->late.m);
-  free(c->fresh);
+  free(c->unsynced);
   pwconslog_free(&c->log);
   free(c);
 }
--- a/packages/consensus/pwcons.h
+++ b/packages/consensus/pwcons.h
@@ -1,8 +1,9 @@
-/* pwcons.h: consensus of the control group, as a pure state machine.
+/* pwcons.h: consensus of the control group, a Raft-like protocol as a pure state machine.
 **
 ** Messages and ticks go in; what to store, send and apply comes out. It does
-** no I/O, starts no thread and reads no clock: times are milliseconds given by
-** the caller, randomness comes from a seed. See docs/design/consensus.md. */
+** no I/O, starts no thread and reads no clock: the caller passes times in
+** milliseconds, and random numbers come from a seed. See
+** docs/design/consensus.md. */
 #ifndef PWCONS_H
 #define PWCONS_H
 
@@ -12,18 +13,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Most members of a control group, learners included. */
+/* Largest number of members of a control group, learners included. */
 #define PWCONS_MEMBERS 9
 
-/* Longest address of a member. */
+/* Size of a member's address, with the terminating zero. */
 #define PWCONS_ADDR 64
 
 typedef struct pw_cons_member {
-  uint64_t id;
-  uint32_t slot;
-  int voter;
-  char addr[PWCONS_ADDR];
-  char http[PWCONS_ADDR];
+  uint64_t id;            /* drawn anew for each empty disk */
+  uint32_t slot;          /* identifies the instance, whatever disk it has */
+  int voter;              /* 0: a learner */
+  char addr[PWCONS_ADDR]; /* for messages of the protocol */
+  char http[PWCONS_ADDR]; /* for callers */
 } pw_cons_member;
 
 typedef struct pw_cons_config {
@@ -55,25 +56,26 @@
   PWCONS_TIMEOUT_NOW
 } pw_cons_type;
 
-/* Where a member starts from: what its disk holds. */
+/* Timing of a member, and the state on its disk that it starts from. */
 typedef struct pw_cons_setup {
   uint64_t id;
   uint64_t seed;
   int64_t now;
-  int64_t heartbeat; /* ms */
-  int64_t retry;     /* ms */
+  int64_t heartbeat; /* interval of a leader's heartbeats, ms */
+  int64_t retry;     /* shortest interval between snapshots to one member, ms */
   int64_t lease;     /* ms */
-  size_t batch;      /* entries in one append; 0: as many as is usual */
+  size_t batch;      /* most entries in one append; 0: the default */
   uint64_t term;
   uint64_t vote;
   const Pw__Snapshot
-      *snapshot;       /* always there; index 0 holds the first config */
+      *snapshot; /* never NULL; the one of index 0 holds the initial config */
   Pw__Entry **entries; /* log after the snapshot, in order */
   size_t nentries;
 } pw_cons_setup;
 
-/* What must be done now, in this order: send `early`, store the hard state
-** and entries with one sync, send `late`, then call pwcons_advance. */
+/* Work for the caller, in this order: send `early`, store the hard state (term
+** and vote) and the entries with one sync, send `late`, call pwcons_advance.
+** `late` messages depend on what the sync stores; `early` ones do not. */
 typedef struct pw_cons_ready {
   int must_sync;
   uint64_t term;
@@ -92,76 +94,76 @@
 pw_cons *pwcons_new(const pw_cons_setup *setup);
 void pwcons_free(pw_cons *c);
 
-/* Time has come to `now`. */
+/* Advances the clock to `now`, ms. */
 void pwcons_tick(pw_cons *c, int64_t now);
 
-/* A message arrived. Messages for another id are ignored. */
+/* Handles a received message. Messages for another id are ignored. */
 void pwcons_step(pw_cons *c, int64_t now, const Pw__Cons *m);
 
-/* Adds a command to the log; PW_E_NOT_LEADER unless it leads. *index is where
-** it will be applied if its term is still *term there. */
+/* Appends a command to the log; PW_E_NOT_LEADER unless this member leads. The
+** command is applied at *index if the entry committed there has term *term. */
 pw_code pwcons_propose(pw_cons *c, const void *data, size_t len,
                        uint64_t *index, uint64_t *term);
 
-/* Changes one member. PW_E_CONFLICT while another change is not committed, or
-** when more than one voter would change. */
+/* Appends a configuration that changes at most one voter. PW_E_CONFLICT if it
+** changes more, or while an earlier change is not committed. */
 pw_code pwcons_propose_config(pw_cons *c, const pw_cons_config *config);
 
-/* Fills r; 0 when there is nothing to do. r is valid until the next call. */
+/* Fills r, which stays valid until the next call; 0: no work. */
 int pwcons_ready(pw_cons *c, pw_cons_ready *r);
 
-/* The early messages that pwcons_ready gave have been sent: they are not given
-** again if the rest cannot be stored yet. */
+/* Confirms that the early messages of pwcons_ready were sent, so that they are
+** not sent again if the rest cannot be stored yet. */
 void pwcons_early_sent(pw_cons *c);
 
-/* What pwcons_ready gave has been stored and sent. */
+/* Confirms that all work of pwcons_ready was done. */
 void pwcons_advance(pw_cons *c);
 
-/* Next committed entry not yet handed out, or NULL. */
+/* The next committed entry that this function has not returned yet, or NULL. */
 const Pw__Entry *pwcons_next(pw_cons *c);
 
-/* Gives back the memory of the snapshot's state, which is large: only right
-** before pwcons_compact with a newer one, so that there never are two. */
+/* Frees the state in the snapshot, which is large. Only allowed right before
+** pwcons_compact with a newer state, so that memory never holds two. */
 void pwcons_shed(pw_cons *c);
 
-/* Drops the log up to `index`, which is past the snapshot's, for the given
-** state of that index. Takes ownership of state. */
+/* Replaces the log up to `index`, which is past the snapshot's, by a snapshot
+** with the state as of that index. Takes ownership of state. */
 void pwcons_compact(pw_cons *c, uint64_t index, uint8_t *state, size_t len);
 
-/* The entries that follow the snapshot; borrowed until the next call. */
+/* The log entries that follow the snapshot; valid until the next call. */
 Pw__Entry **pwcons_entries(const pw_cons *c, size_t *n);
 
-/* The snapshot the log starts from. */
+/* The snapshot that the log starts from. */
 const Pw__Snapshot *pwcons_snapshot(const pw_cons *c);
 
-/* Asks the best follower to take over; 0 when there is none. */
+/* Transfers leadership to the voter with the longest log; 0: none is suited. */
 int pwcons_hand_over(pw_cons *c, int64_t now);
 
 pw_cons_role pwcons_role(const pw_cons *c);
 uint64_t pwcons_term(const pw_cons *c);
-uint64_t pwcons_leader(const pw_cons *c); /* id, or 0 if none is known */
+uint64_t pwcons_leader(const pw_cons *c); /* id; 0: no leader is known */
 uint64_t pwcons_commit(const pw_cons *c);
 uint64_t pwcons_last(const pw_cons *c);
 const pw_cons_config *pwcons_config(const pw_cons *c);
 
-/* Non-zero while it leads, has committed in its own term, and holds a lease
-** that no other leader can overlap at `now`. */
+/* Whether this member leads, has committed an entry of its term, and holds a
+** lease at `now`, during which no other member can become leader. */
 int pwcons_lease(const pw_cons *c, int64_t now);
 
-/* Milliseconds since it heard a leader; 0 when it leads. */
+/* Time since this member last heard from a leader, ms; 0 while it leads. */
 int64_t pwcons_silence(const pw_cons *c);
 
-/* As leader: milliseconds since member `id` answered; INT64_MAX if no member.
- */
+/* On the leader: time since member `id` answered, ms; INT64_MAX if `id` is no
+** member. */
 int64_t pwcons_peer_silence(const pw_cons *c, uint64_t id);
 
-/* Non-zero when learner `id` lacks nothing committed. */
+/* Whether this member leads and member `id` holds every committed entry. */
 int pwcons_caught_up(const pw_cons *c, uint64_t id);
 
 void pwcons_config_pack(const pw_cons_config *config, Pw__Config **out);
 void pwcons_config_unpack(const Pw__Config *in, pw_cons_config *config);
 
-/* Deep copies, by packing and unpacking; freed by the pb functions. */
+/* Deep copies, freed by the functions of protobuf-c. */
 Pw__Entry *pwcons_copy_entry(const Pw__Entry *e);
 Pw__Snapshot *pwcons_copy_snapshot(const Pw__Snapshot *s);
 
--- a/packages/consensus/pwconsint.h
+++ b/packages/consensus/pwconsint.h
@@ -1,53 +1,56 @@
-/* pwconsint.h: state of one member, for pwcons.c, pwelect.c and pwrepl.c alone.
- */
+/* pwconsint.h: private state of one member, for pwcons.c, pwelect.c and
+** pwrepl.c. */
 #ifndef PWCONSINT_H
 #define PWCONSINT_H
 
 #include "pwcons.h"
 #include "pwconslog.h"
 
-/* Entries in one append, and entries sent ahead of their acknowledgement. */
+/* Most entries in one append, and most entries sent to a member that it has not
+** acknowledged. */
 #define BATCH_MAX 256
-#define AHEAD_MAX 4096
+#define UNACKED_MAX 4096
 
-/* A lease ends this share earlier for its holder, to allow for clock drift. */
+/* The holder of a lease uses only this fraction of it, to allow for clock
+** drift. */
 #define LEASE_NUM 9
 #define LEASE_DEN 10
 
-/* Deliberate faults for the tests that must catch them; see Makefile. */
+/* Deliberate faults, which tests must detect; see Makefile. */
 #ifndef PW_MUTATION
 #define PW_MUTATION 0
 #endif
 enum {
   MUT_OLD_TERM_COMMIT = 1, /* counts entries of older terms */
   MUT_EMPTY_VOTES = 2,     /* grants votes without comparing logs */
-  MUT_VOTE_TWICE = 3,      /* forgets whom it voted for */
+  MUT_VOTE_TWICE = 3,      /* votes for several candidates in one term */
   MUT_LEARNER_COUNTS = 4,  /* a learner counts in quorums */
-  MUT_SMALL_QUORUM = 5,    /* half of the voters are enough */
+  MUT_SMALL_QUORUM = 5,    /* half of the voters make a quorum */
   MUT_NO_TRUNCATE = 6,     /* keeps a conflicting tail */
   MUT_LEASE_FOREVER = 7,   /* holds the lease as long as it leads */
   MUT_BIG_CHANGE = 8,      /* changes several voters at once */
-  MUT_SKIP_TERM_SYNC = 9,  /* speaks of a term that is not stored */
-  MUT_COMMIT_AHEAD = 10,   /* follower commits past what it matched */
-  MUT_FRESH_QUORUM = 28,   /* a quorum that has just started is enough */
-  MUT_FRESH_LEADER = 29    /* a leader says that it has just started */
+  MUT_SKIP_TERM_SYNC = 9,  /* sends a term before it is stored */
+  MUT_COMMIT_AHEAD = 10,   /* commits entries that may not match the leader's */
+  MUT_FRESH_QUORUM = 28,   /* ignores leases when only a quorum is new */
+  MUT_FRESH_LEADER = 29    /* a leader claims to be new */
 };
 
-/* Values of `hint` in questions for votes and their answers. */
+/* Values of `hint` in vote and pre-vote requests and their replies. */
 enum {
-  HINT_TRANSFER = 1, /* the leader has handed over */
-  HINT_NO_LEASE = 2  /* nobody can hold a lease: all voters are new */
+  HINT_TRANSFER = 1, /* request: the leader has transferred its leadership */
+  HINT_NO_LEASE = 2  /* request: all voters are new, so no lease exists; reply:
+                     ** the sender is new and lets the candidate go first */
 };
 
 typedef struct pw_progress {
   uint64_t id;
-  uint64_t match;
-  uint64_t next;
-  int64_t heard;   /* when it last answered, ms */
-  int64_t round;   /* newest send time it has echoed, ms */
-  int64_t snap_at; /* when it was last sent a snapshot, ms */
-  int granted;     /* vote or pre-vote */
-  int is_new;      /* it answered that it is new, after this life began */
+  uint64_t match;           /* highest index known to be on its disk */
+  uint64_t next;            /* next index to send */
+  int64_t heard;            /* time of its last reply, ms */
+  int64_t echoed;           /* newest send time that it has echoed, ms */
+  int64_t snapshot_sent_at; /* ms */
+  int granted;              /* it granted the vote or pre-vote */
+  int is_new; /* it replied to this incarnation of the process that it is new */
 } pw_progress;
 
 typedef struct pw_outbox {
@@ -59,7 +62,7 @@
 struct pw_cons {
   uint64_t id;
   uint64_t seed;
-  uint64_t draws;
+  uint64_t draws; /* random numbers drawn so far */
   int64_t now;
   int64_t heartbeat, retry, lease;
   size_t batch;
@@ -69,89 +72,89 @@
   pw_cons_log log;
   uint64_t commit;
   uint64_t applied;
-  uint64_t synced; /* last index on the disk */
-  int hard_dirty;
-  int install_dirty;
+  uint64_t synced;   /* last index on the disk */
+  int hard_dirty;    /* term or vote must be stored */
+  int install_dirty; /* a received snapshot must be stored */
 
   pw_cons_role role;
   uint64_t leader;
   pw_cons_config config;
   uint64_t config_index;
   int64_t heard_leader;
-  int is_new;    /* it has neither led nor heard of a leader in this life */
-  uint64_t life; /* drawn at the start, tells this life from others */
-  int64_t election_at;
-  int64_t beat_at;
-  int64_t since; /* when the role was taken */
-  int transferring;
-  uint64_t noop_index;
+  int is_new; /* it has neither led nor heard from a leader since its start */
+  uint64_t incarnation; /* random number, drawn at the start */
+  int64_t election_at;  /* the next election or retry starts then */
+  int64_t heartbeat_at; /* the next heartbeat is due then */
+  int64_t since;        /* start of the role, or of a leadership transfer */
+  int transferring;     /* a leadership transfer is in progress */
+  uint64_t noop_index;  /* first entry of this leader's term */
   pw_progress peer[PWCONS_MEMBERS];
   int npeers;
 
   pw_outbox early, late;
-  Pw__Entry **fresh; /* view handed out by pwcons_ready */
-  uint64_t ready_last;
-  uint64_t ready_term; /* term of entry ready_last when it was handed out */
+  Pw__Entry **unsynced; /* entries that pwcons_ready returned */
+  uint64_t ready_last;  /* last index at that time */
+  uint64_t ready_term;  /* term of entry ready_last at that time */
 };
 
-/* Whether id votes. */
+/* Whether member `id` is a voter. */
 int pwci_is_voter(const pw_cons *c, uint64_t id);
 
-/* How many voters make a quorum. */
+/* The number of voters that make a quorum. */
 int pwci_quorum(const pw_cons *c);
 
-/* Progress of a member, or NULL. */
+/* Replication progress of a member, or NULL. */
 pw_progress *pwci_peer_of(pw_cons *c, uint64_t id);
 
-/* Takes the configuration from the log anew. */
+/* Reloads the configuration from the log. */
 void pwci_reload_config(pw_cons *c);
 
-/* Draws when the next election may start: one to one and a half leases from now. */
-void pwci_plan_election(pw_cons *c);
+/* Resets the election timer to one to one and a half leases from now. */
+void pwci_reset_election_timer(pw_cons *c);
 
-/* The same for who has just asked. To ask whether votes could be had changes nothing
-** anywhere, so that is done again soon: after a start voters may have promised a lease
-** that ends any moment. Votes that were split are asked for again a little later. */
-void pwci_plan_again(pw_cons *c, int pre);
+/* Sets the election timer of a member that has just campaigned. A pre-vote (`pre`) changes no
+** state, so it is retried soon: after a start, voters may still honour a lease that is about to
+** end. An election is retried later, since its votes may have been split. */
+void pwci_set_retry_timer(pw_cons *c, int pre);
 
-/* Adds a message to an outbox; it is filled by the caller. */
+/* Adds a message to an outbox, for the caller to fill in. */
 Pw__Cons *pwci_send(pw_cons *c, pw_outbox *box, pw_cons_type type, uint64_t to);
 
-/* Follows, in a newer term if that is given. */
+/* Becomes a follower, in `term` if that is newer. */
 void pwci_become_follower(pw_cons *c, uint64_t term, uint64_t leader);
 
-/* Asks for votes, or first whether there would be any; `hint` goes with the question. */
+/* Starts a pre-vote (`pre`) or an election; `hint` goes into the requests. */
 void pwci_campaign(pw_cons *c, int pre, int hint);
 
-/* A member asks whether it would get a vote. */
+/* Handles a pre-vote request. */
 void pwci_on_prevote(pw_cons *c, const Pw__Cons *m);
 
-/* A member asks for a vote. */
+/* Handles a vote request. */
 void pwci_on_vote(pw_cons *c, const Pw__Cons *m);
 
-/* An answer to one of those. */
+/* Handles a reply to a pre-vote (`pre`) or vote request. */
 void pwci_on_vote_reply(pw_cons *c, const Pw__Cons *m, int pre);
 
-/* Sends a member entries, or a snapshot. */
+/* Sends a member the next entries, or a snapshot if they are compacted. */
 void pwci_send_append(pw_cons *c, pw_progress *p);
 
-/* Sends every other member what it lacks, or a heartbeat. */
+/* Sends every other member an append, which is a heartbeat if it has no entries. */
 void pwci_broadcast(pw_cons *c);
 
-/* Appends an entry of the own term. */
+/* Appends an entry of the current term to the leader's log. */
 void pwci_append_own(pw_cons *c, pw_cons_kind kind, const void *data,
                      size_t len);
 
-/* Commits what a quorum holds on disk. */
+/* Raises the commit index to what a quorum holds on disk. */
 void pwci_advance_commit(pw_cons *c);
 
-/* Entries or a heartbeat of a leader. */
+/* Handles entries or a heartbeat from a leader. */
 void pwci_on_append(pw_cons *c, const Pw__Cons *m);
 
-/* A snapshot of a leader. */
+/* Handles a snapshot from a leader. */
 void pwci_on_snapshot(pw_cons *c, const Pw__Cons *m);
 
-/* An answer to one of those. */
+/* Handles a reply to an append or a snapshot. */
 void pwci_on_append_reply(pw_cons *c, const Pw__Cons *m);
 
 #endif
--- a/packages/consensus/pwconslog.h
+++ b/packages/consensus/pwconslog.h
@@ -1,11 +1,11 @@
-/* pwconslog.h: the in-memory log of one member, from its snapshot on. */
+/* pwconslog.h: the in-memory log of one member, which starts after its snapshot. */
 #ifndef PWCONSLOG_H
 #define PWCONSLOG_H
 
 #include "pwcons.h"
 
 typedef struct pw_cons_log {
-  Pw__Snapshot *snapshot; /* what the entries follow */
+  Pw__Snapshot *snapshot; /* the entries follow it */
   Pw__Entry **entry;      /* entry[i] has index snapshot->index + 1 + i */
   size_t n;
   size_t cap;
@@ -16,26 +16,27 @@
                     size_t n);
 void pwconslog_free(pw_cons_log *l);
 
+/* The index of the last entry, or of the snapshot if there is none. */
 uint64_t pwconslog_last(const pw_cons_log *l);
 
-/* Entry at index, or NULL when it is compacted or past the end. */
+/* The entry at an index; NULL if it is compacted or past the end. */
 Pw__Entry *pwconslog_at(const pw_cons_log *l, uint64_t index);
 
-/* Term at index: 0 when not known. The snapshot's own index is known. */
+/* The term at an index, which may be the snapshot's; 0: unknown. */
 uint64_t pwconslog_term(const pw_cons_log *l, uint64_t index);
 
-/* Appends an entry it takes over. */
+/* Appends an entry and takes ownership of it. */
 void pwconslog_append(pw_cons_log *l, Pw__Entry *e);
 
-/* Drops entries from index on. */
+/* Removes the entries from an index on. */
 void pwconslog_truncate(pw_cons_log *l, uint64_t index);
 
-/* Replaces the snapshot and drops the entries it covers; all entries when
-** `all` is set. Takes ownership of the snapshot. */
+/* Replaces the snapshot and removes the entries that it covers, or all entries
+** with `all`. Takes ownership of the snapshot. */
 void pwconslog_compact(pw_cons_log *l, Pw__Snapshot *snapshot, int all);
 
-/* Fills config from the last CONFIG entry at or before `index`, and gives its
-** index; the snapshot's config, and its index, when there is none. */
+/* Fills config from the last CONFIG entry at or before `index`, or else from
+** the snapshot. Returns the index of that entry or snapshot. */
 uint64_t pwconslog_config(const pw_cons_log *l, uint64_t index,
                           pw_cons_config *config);
 
--- a/packages/consensus/pwelect.c
+++ b/packages/consensus/pwelect.c
@@ -1,16 +1,17 @@
-/* pwelect.c: elections: asking for votes, giving them, leading. */
+/* pwelect.c: elections: pre-votes, votes and becoming leader. */
 #include "pwconsint.h"
 
-/* Whether this member has neither led nor heard of a leader since it started. When every
-** voter is new, nobody holds a lease, whatever was promised before: a lease dies with the
-** process that holds it. */
+/* Whether this member has neither led nor heard from a leader since its start. If all voters are
+** new, no lease exists, whatever they granted before: a lease ends with the process that holds
+** it. */
 static int is_new(const pw_cons *c) {
   return c->is_new || (PW_MUTATION == MUT_FRESH_LEADER);
 }
 
-/* Whether all voters have answered this life that they are new. Whoever then takes a lease
-** has its first entry on the disks of a quorum, and this member, which has heard of no
-** leader, has not: it gets no votes there (model test, mutations 28 and 29). */
+/* Whether all voters have replied to this incarnation that they are new. A member that becomes
+** leader after those replies has its first entry on the disks of a quorum before it holds a
+** lease. This member, which has heard from no leader, lacks that entry and gets no votes there.
+** Mutations 28 and 29 break this rule. */
 static int all_new(const pw_cons *c) {
   int n = 0, voters = 0;
   for (int i = 0; i < c->npeers; i++) {
@@ -33,15 +34,15 @@
     c->peer[i].match = 0;
     c->peer[i].next = pwconslog_last(&c->log) + 1;
     c->peer[i].heard = c->now;
-    c->peer[i].round = INT64_MIN / 2;
-    c->peer[i].snap_at = INT64_MIN / 2;
+    c->peer[i].echoed = INT64_MIN / 2;
+    c->peer[i].snapshot_sent_at = INT64_MIN / 2;
   }
   pwci_append_own(c, PWCONS_NOOP, NULL, 0);
   c->noop_index = pwconslog_last(&c->log);
   pwci_broadcast(c);
 }
 
-static int granted(const pw_cons *c) {
+static int count_granted(const pw_cons *c) {
   int n = 0;
   for (int i = 0; i < c->npeers; i++)
     n += c->peer[i].granted && pwci_is_voter(c, c->peer[i].id);
@@ -59,7 +60,7 @@
     c->vote = c->id;
     c->hard_dirty = 1;
   }
-  pwci_plan_again(c, pre);
+  pwci_set_retry_timer(c, pre);
   uint64_t last = pwconslog_last(&c->log);
   for (int i = 0; i < c->npeers; i++) {
     pw_progress *p = &c->peer[i];
@@ -72,9 +73,9 @@
     m->index = last;
     m->log_term = pwconslog_term(&c->log, last);
     m->hint = (uint64_t)hint;
-    m->round = c->life;
+    m->round = c->incarnation;
   }
-  if (granted(c) < pwci_quorum(c))
+  if (count_granted(c) < pwci_quorum(c))
     return;
   if (pre)
     pwci_campaign(c, 0, hint);
@@ -82,6 +83,7 @@
     become_leader(c);
 }
 
+/* Whether the candidate's log is at least as up to date as this member's. */
 static int up_to_date(const pw_cons *c, const Pw__Cons *m) {
   uint64_t last = pwconslog_last(&c->log);
   uint64_t term = pwconslog_term(&c->log, last);
@@ -90,8 +92,9 @@
   return m->log_term > term || (m->log_term == term && m->index >= last);
 }
 
-/* A leader heard of within the lease may still hold it: no votes then. */
-static int lease_open(const pw_cons *c, const Pw__Cons *m) {
+/* Whether a leader may still hold a lease, in which case no vote is granted: this member leads,
+** or has heard from a leader within the lease. */
+static int lease_may_be_held(const pw_cons *c, const Pw__Cons *m) {
   if (m->hint == HINT_TRANSFER || (m->hint == HINT_NO_LEASE && is_new(c)))
     return 0;
   if (c->role == PWCONS_LEADER)
@@ -99,8 +102,9 @@
   return c->now - c->heard_leader < c->lease;
 }
 
-/* Of members that are all new one alone is told so by all others, the one whose log is
-** the longest, of those the one with the highest id: no two take votes from each other. */
+/* Whether a candidate may learn that this member is new. Only the member with the longest log,
+** and among those the one with the highest id, learns it from all others, so that no two
+** candidates split the votes of new members. */
 static int may_go_first(const pw_cons *c, const Pw__Cons *m) {
   uint64_t last = pwconslog_last(&c->log);
   uint64_t term = pwconslog_term(&c->log, last);
@@ -109,7 +113,7 @@
 }
 
 void pwci_on_prevote(pw_cons *c, const Pw__Cons *m) {
-  int yes = m->term > c->term && up_to_date(c, m) && !lease_open(c, m);
+  int yes = m->term > c->term && up_to_date(c, m) && !lease_may_be_held(c, m);
   Pw__Cons *r = pwci_send(c, &c->late, PWCONS_PREVOTE_REPLY, m->from);
   r->term = yes ? m->term : c->term;
   r->reject = !yes;
@@ -119,7 +123,7 @@
 }
 
 void pwci_on_vote(pw_cons *c, const Pw__Cons *m) {
-  if (lease_open(c, m) && m->term > c->term)
+  if (lease_may_be_held(c, m) && m->term > c->term)
     return;
   if (m->term > c->term)
     pwci_become_follower(c, m->term, 0);
@@ -129,7 +133,7 @@
   if (yes) {
     c->vote = m->from;
     c->hard_dirty = 1;
-    pwci_plan_election(c);
+    pwci_reset_election_timer(c);
   }
   pw_outbox *box = PW_MUTATION == MUT_SKIP_TERM_SYNC ? &c->early : &c->late;
   if (PW_MUTATION == MUT_SKIP_TERM_SYNC)
@@ -138,10 +142,10 @@
   r->reject = !yes;
 }
 
-/* Another voter is new; answers to an earlier life say nothing of now. */
+/* Records that another voter is new. Replies to an earlier incarnation do not count. */
 static void note_new(pw_cons *c, const Pw__Cons *m) {
   pw_progress *p = pwci_peer_of(c, m->from);
-  if (!p || m->hint != HINT_NO_LEASE || m->round != c->life)
+  if (!p || m->hint != HINT_NO_LEASE || m->round != c->incarnation)
     return;
   p->is_new = 1;
   if (c->role == PWCONS_PRECANDIDATE && all_new(c))
@@ -161,7 +165,7 @@
   if (c->role != want || m->term != term || m->reject || !p)
     return;
   p->granted = 1;
-  if (granted(c) < pwci_quorum(c))
+  if (count_granted(c) < pwci_quorum(c))
     return;
   if (pre)
     pwci_campaign(c, 0, 0);
--- a/packages/consensus/pwmember.c
+++ b/packages/consensus/pwmember.c
@@ -1,12 +1,12 @@
-/* pwmember.c: which single change of a group's membership comes next. */
+/* pwmember.c: choice of the next single change of a group's membership. */
 #include "pwmember.h"
 
 #ifndef PW_MUTATION
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_KEEP_SILENT = 18, /* a lost instance keeps its place */
-  MUT_CROWD = 19        /* learners vote whatever the group's size */
+  MUT_KEEP_SILENT = 18, /* a silent voter is never replaced */
+  MUT_CROWD = 19        /* learners are promoted beyond the group's size */
 };
 
 int pwmember_has(const pw_cons_config *c, uint64_t id) {
@@ -42,7 +42,7 @@
   return n;
 }
 
-/* The voter that has been silent for longest, if that is too long. */
+/* The index of the longest silent voter, if it has reached PWMEMBER_REPLACE_MS; -1: none. */
 static int find_silent(const pw_cons *cons, const pw_cons_config *c) {
   int64_t longest = PWMEMBER_REPLACE_MS;
   int found = -1;
@@ -56,10 +56,10 @@
   return found;
 }
 
-/* Whether one more may vote. In a full group only beside a silent voter, which
-** is removed after that: removed before, two losses at once could leave too few
-** of those that are left, and the silent one, back again, would not count. */
-static int has_place(const pw_cons *cons, int size, const pw_cons_config *c) {
+/* Whether one more learner may be promoted. A full group must have a silent
+** voter, which is removed after the promotion. If it were removed first, two
+** further losses could leave no quorum, and its return would not help. */
+static int may_promote(const pw_cons *cons, int size, const pw_cons_config *c) {
   int n = voters(c);
   if (size <= 0 || n < size || PW_MUTATION == MUT_CROWD)
     return 1;
@@ -77,7 +77,7 @@
       drop(next, old);
       return "remove";
     }
-    if (!has_place(cons, size, next))
+    if (!may_promote(cons, size, next))
       continue;
     next->m[i].voter = 1;
     return "promote";
@@ -85,7 +85,7 @@
   return NULL;
 }
 
-/* A group that is larger than its size loses a silent voter. */
+/* Removes a silent voter from a group that has more voters than its size. */
 static const char *shrink(const pw_cons *cons, int size, pw_cons_config *next) {
   int silent = find_silent(cons, next);
   if (size <= 0 || voters(next) <= size || silent < 0)
@@ -100,7 +100,7 @@
   return voter >= 0 && pwcons_peer_silence(cons, c->m[voter].id) <= 2 * lease;
 }
 
-/* A learner that has been silent for long; -1: none. */
+/* The index of a learner that has been silent for PWMEMBER_REPLACE_MS; -1: none. */
 static int find_lost_learner(const pw_cons *cons, const pw_cons_config *c) {
   for (int i = 0; i < c->n; i++)
     if (!c->m[i].voter &&
@@ -123,7 +123,7 @@
   int lost = find_slot(next, joining->slot, 0);
   if (lost < 0 && next->n == PWCONS_MEMBERS)
     lost = find_lost_learner(cons, next);
-  if (lost >= 0) /* an earlier learner of this slot is lost too */
+  if (lost >= 0) /* replaces an earlier learner that is lost */
     next->m[lost] = *joining;
   else if (next->n < PWCONS_MEMBERS)
     next->m[next->n++] = *joining;
--- a/packages/consensus/pwmember.h
+++ b/packages/consensus/pwmember.h
@@ -1,36 +1,37 @@
-/* pwmember.h: which single change of a group's membership comes next.
+/* pwmember.h: choice of the next single change of a group's membership.
 **
-** An instance whose disk is empty joins as a learner under a new id. Once it
-** has caught up, the voter of the same slot, whose disk is lost, is removed,
-** and then the learner votes; until then it counts in no quorum, so the loss of
-** a second instance right after a repair loses nothing. */
+** An instance with an empty disk joins as a learner under a new id. Once it has
+** caught up, the voter of the same slot, whose disk is lost, is removed and the
+** learner is promoted. Until then the learner counts in no quorum, so that the
+** loss of a second disk right after a replacement loses no committed entry. */
 #ifndef PWMEMBER_H
 #define PWMEMBER_H
 
 #include "pwcons.h"
 
-/* Whether an id is in a configuration. */
+/* Whether a configuration contains an id. */
 int pwmember_has(const pw_cons_config *c, uint64_t id);
 
-/* Whether an instance must ask to be let in (again). A learner may have been
-** added by a leader that lost its place before that was committed: it believes
-** to be a member, or holds a log, but no leader knows of it. */
+/* Whether an instance must ask to join, possibly again. A learner may have been
+** added by a leader that was deposed before that change was committed: it has a
+** log or a configuration with its id, but no leader knows of it. */
 int pwmember_seeks(const pw_cons *cons, uint64_t id, int64_t lease);
 
-/* A voter silent for so long gives its place to a learner that has caught up,
-** in a group of a set size; ms. Longer than an election, so that a change of
-** leader removes nobody. */
+/* In a group of fixed size, a voter that has been silent for this long is
+** replaced by a learner that has caught up, ms. It is longer than an election,
+** so that a change of leader removes no voter. */
 #define PWMEMBER_REPLACE_MS 2500
 
-/* The next change towards having `joining` (id 0: nobody) and every learner
-** that has caught up as voters. Fills *next and gives what it does, such as
-** "promote"; NULL when there is nothing to do. Nobody joins for a slot whose
-** voter has answered within two leases: a disk that was replaced cannot push
-** out its successor, nor can a second instance set up with the same id.
+/* Chooses the next change towards having `joining` (id 0: none) and every
+** learner that has caught up as voters. Fills *next and returns the name of the
+** change, such as "promote"; NULL: no change is needed. No instance joins for a
+** slot whose voter has answered within two leases, so that neither a replaced
+** disk nor a second instance that is configured with the same id can displace
+** a live voter.
 **
-** `size` above 0: the group has so many voters. More learners wait until a voter
-** is silent, and take its place: the learner is promoted, then the silent one
-** removed. */
+** With `size` above 0 the group has that many voters. Further learners wait
+** until a voter is silent; one is then promoted, and after that the silent
+** voter is removed. */
 const char *pwmember_next(const pw_cons *cons, const pw_cons_member *joining,
                           int64_t lease, int size, pw_cons_config *next);
 
--- a/packages/consensus/pwrepl.c
+++ b/packages/consensus/pwrepl.c
@@ -1,4 +1,4 @@
-/* pwrepl.c: replication: sending the log, taking it, committing. */
+/* pwrepl.c: replication: sending entries, storing received ones, committing. */
 #include "pwconsint.h"
 
 #include "pwbuf.h"
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 
 static void send_snapshot(pw_cons *c, pw_progress *p) {
-  if (c->now - p->snap_at < c->retry)
+  if (c->now - p->snapshot_sent_at < c->retry)
     return;
-  p->snap_at = c->now;
+  p->snapshot_sent_at = c->now;
   Pw__Cons *m = pwci_send(c, &c->early, PWCONS_SNAPSHOT, p->id);
   m->snapshot = pwcons_copy_snapshot(c->log.snapshot);
   m->round = (uint64_t)c->now;
@@ -24,7 +24,7 @@
   size_t n = last >= p->next ? (size_t)(last - p->next + 1) : 0;
   if (n > c->batch)
     n = c->batch;
-  if (p->next > p->match + AHEAD_MAX)
+  if (p->next > p->match + UNACKED_MAX)
     n = 0;
   Pw__Cons *m = pwci_send(c, &c->early, PWCONS_APPEND, p->id);
   m->index = p->next - 1;
@@ -42,7 +42,7 @@
   for (int i = 0; i < c->npeers; i++)
     if (c->peer[i].id != c->id)
       pwci_send_append(c, &c->peer[i]);
-  c->beat_at = c->now + c->heartbeat;
+  c->heartbeat_at = c->now + c->heartbeat;
 }
 
 void pwci_append_own(pw_cons *c, pw_cons_kind kind, const void *data,
@@ -57,9 +57,9 @@
   pwconslog_append(&c->log, e);
 }
 
-/* Highest index that a quorum of voters holds on disk. */
+/* The highest index that a quorum of voters holds on disk. */
 static uint64_t quorum_match(const pw_cons *c) {
-  uint64_t held[PWCONS_MEMBERS];
+  uint64_t stored[PWCONS_MEMBERS]; /* in descending order */
   int n = 0;
   for (int i = 0; i < c->npeers; i++) {
     const pw_progress *p = &c->peer[i];
@@ -67,14 +67,15 @@
       continue;
     uint64_t v = p->id == c->id ? c->synced : p->match;
     int j = n++;
-    for (; j > 0 && held[j - 1] < v; j--)
-      held[j] = held[j - 1];
-    held[j] = v;
+    for (; j > 0 && stored[j - 1] < v; j--)
+      stored[j] = stored[j - 1];
+    stored[j] = v;
   }
-  return n ? held[pwci_quorum(c) - 1] : 0;
+  return n ? stored[pwci_quorum(c) - 1] : 0;
 }
 
-/* Only an entry of the own term commits by counting; older ones with it. */
+/* Counting replicas commits only entries of the current term; earlier entries are committed
+** along with them. */
 void pwci_advance_commit(pw_cons *c) {
   if (c->role != PWCONS_LEADER)
     return;
@@ -101,7 +102,8 @@
   return r;
 }
 
-static void drop_tail(pw_cons *c, uint64_t index) {
+/* Removes the entries from an index on, which conflict with the leader's. */
+static void truncate_log(pw_cons *c, uint64_t index) {
   assert(index > c->commit);
   pwconslog_truncate(&c->log, index);
   if (c->synced >= index)
@@ -109,9 +111,9 @@
   pwci_reload_config(c);
 }
 
-/* Appends what is new of the message's entries; gives the last index that is
-** now known to match the leader's log. */
-static uint64_t take_entries(pw_cons *c, const Pw__Cons *m) {
+/* Appends the new entries of a message. Returns the last index that is now known
+** to match the leader's log. */
+static uint64_t append_entries(pw_cons *c, const Pw__Cons *m) {
   int config_seen = 0;
   for (size_t i = 0; i < m->n_entries; i++) {
     const Pw__Entry *e = m->entries[i];
@@ -123,7 +125,7 @@
     if (have) {
       if (PW_MUTATION == MUT_NO_TRUNCATE)
         continue;
-      drop_tail(c, e->index);
+      truncate_log(c, e->index);
     }
     if (e->index != pwconslog_last(&c->log) + 1)
       return pwconslog_last(&c->log);
@@ -135,16 +137,17 @@
   return m->index + m->n_entries;
 }
 
-static void hear_leader(pw_cons *c, const Pw__Cons *m) {
+/* Follows the leader that sent a message of the current or a newer term. */
+static void follow_leader(pw_cons *c, const Pw__Cons *m) {
   if (m->term > c->term || c->role != PWCONS_FOLLOWER)
     pwci_become_follower(c, m->term, m->from);
   c->leader = m->from;
   c->heard_leader = c->now;
   c->is_new = 0;
-  pwci_plan_election(c);
+  pwci_reset_election_timer(c);
 }
 
-/* Entries follow m->index one by one. */
+/* Whether the entries' indexes follow m->index without gaps. */
 static int is_well_formed(const Pw__Cons *m) {
   for (size_t i = 0; i < m->n_entries; i++)
     if (m->entries[i]->index != m->index + 1 + i)
@@ -159,7 +162,7 @@
     reply_append(c, m, 0, 1);
     return;
   }
-  hear_leader(c, m);
+  follow_leader(c, m);
   int known = m->index <= c->log.snapshot->index ||
               (m->index <= pwconslog_last(&c->log) &&
                pwconslog_term(&c->log, m->index) == m->log_term);
@@ -171,7 +174,7 @@
       r->hint = c->commit;
     return;
   }
-  uint64_t matched = take_entries(c, m);
+  uint64_t matched = append_entries(c, m);
   uint64_t to = m->commit < matched ? m->commit : matched;
   if (PW_MUTATION == MUT_COMMIT_AHEAD) {
     uint64_t last = pwconslog_last(&c->log);
@@ -187,7 +190,7 @@
     reply_append(c, m, 0, 1);
     return;
   }
-  hear_leader(c, m);
+  follow_leader(c, m);
   uint64_t index = m->snapshot->index;
   if (index <= c->commit) {
     reply_append(c, m, c->commit, 0);
@@ -212,8 +215,8 @@
   if (c->role != PWCONS_LEADER || m->term != c->term || !p)
     return;
   p->heard = c->now;
-  if ((int64_t)m->round > p->round)
-    p->round = (int64_t)m->round;
+  if ((int64_t)m->round > p->echoed)
+    p->echoed = (int64_t)m->round;
   if (m->reject) {
     if (m->hint + 1 < p->next)
       p->next = m->hint + 1 > p->match ? m->hint + 1 : p->match + 1;
--- a/packages/membership/pwfleet.c
+++ b/packages/membership/pwfleet.c
@@ -1,4 +1,4 @@
-/* pwfleet.c: the targets that are known, by their heartbeats. */
+/* pwfleet.c: known targets, kept up to date by heartbeats. */
 #include "pwfleetint.h"
 
 #include "pwbuf.h"
@@ -8,18 +8,18 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A target is silent after so many heartbeats have not come, and is forgotten
-** after so many. */
+/* Missed heartbeats until a target counts as silent, and until it is removed. */
 #define SILENT_BEATS 4
 #define FORGET_BEATS 40
 
 #define SLOTS_DEFAULT 1
 
-#define MISS_SALT 0x9e3779b9U /* tells two figures of one target apart */
+#define CONNECT_FAILURE_SALT                                                   \
+  0x9e3779b9U /* makes miss_hash differ from reject_hash */
 
-/* A target that is cold for so much longer, or shorter, than was known is told of anew, ms: more
-** than heartbeats are usually late by. */
-#define COLD_NEWS_MS 500
+/* A cold phase that differs by more than this from the announced one is reported as a change,
+** ms. Smaller differences come from heartbeats that arrive late. */
+#define COLD_CHANGE_MS 500
 
 pw_fleet *pwfleet_new(const char *availability_zone, int64_t beat_ms,
                       int64_t keep_ms) {
@@ -31,7 +31,7 @@
 }
 
 void pwfleet_believe(pw_fleet *f) {
-  f->is_told = 1;
+  f->trusts_updates = 1;
 }
 
 pw_target *pwfleet_hold(pw_target *t) {
@@ -49,9 +49,10 @@
   pwfleet_drop(t);
 }
 
-/* --- starts --- */
+/* --- incarnations --- */
 
-/* An earlier start is kept apart while it has connections or requests of ours. */
+/* Moves an earlier incarnation to the retired list until its connections and requests of this
+** process have ended. */
 static void retire(pw_fleet *f, pw_target *t) {
   t->is_gone = 1;
   HASH_DEL(f->by_id, t);
@@ -83,8 +84,9 @@
                  : t->hash;
 }
 
-/* The start that is meant. */
-static uint64_t meant(const pw_target *t, uint64_t born) {
+/* The start time that a message refers to: an instance of an older version sends
+** PW_BORN_UNTOLD, which stands for the known incarnation. */
+static uint64_t resolve_born(const pw_target *t, uint64_t born) {
   if (born != PW_BORN_UNTOLD)
     return born;
   return t ? t->born : 0;
@@ -92,7 +94,7 @@
 
 int pwfleet_knows(pw_fleet *f, const char *id, uint64_t born) {
   const pw_target *t = pwfleet_find(f, id);
-  return t && t->born >= meant(t, born);
+  return t && t->born >= resolve_born(t, born);
 }
 
 static void free_evacuated(pw_fleet *f) {
@@ -113,7 +115,7 @@
   free_evacuated(f);
   free(f->rollouts);
   free(f->row);
-  free(f->who);
+  free(f->targets);
   free(f->availability_zone);
   free(f);
 }
@@ -137,22 +139,22 @@
 
 /* --- heartbeats --- */
 
-/* Its newest heartbeat, or news of its state: what was excused before says nothing any more. */
+/* Sets the time of the newest heartbeat or state change. Stalls before it no longer count. */
 static void note_heard(pw_target *t, int64_t at) {
   t->heard_at = at;
-  t->excused_ms = 0;
+  t->stalled_ms = 0;
 }
 
 static pw_target *add(pw_fleet *f, const pw_beat *b, int64_t heard_at) {
   pw_target *t = pw_alloc(sizeof *t);
   t->refs = 1;
   pw_copy(t->id, sizeof t->id, b->id);
-  t->born = meant(NULL, b->born);
+  t->born = resolve_born(NULL, b->born);
   t->hash = XXH3_64bits(t->id, strlen(t->id));
   t->start_hash = hash_start(t);
   t->short_hash = (uint32_t)(t->start_hash >> 32);
   t->reject_hash = (uint32_t)t->start_hash;
-  t->miss_hash = t->reject_hash ^ MISS_SALT;
+  t->miss_hash = t->reject_hash ^ CONNECT_FAILURE_SALT;
   t->heard_at = heard_at;
   t->joined_at = heard_at - (int64_t)b->seq * f->beat_ms;
   HASH_ADD_STR(f->by_id, id, t);
@@ -173,7 +175,7 @@
 int pwfleet_evacuate(pw_fleet *f, uint64_t revision, char *const *names,
                      size_t n, int64_t now) {
   size_t before = f->nevacuated;
-  int is_news = 0;
+  int changed = 0;
   if (revision <= f->evacuated_at)
     return 0;
   f->evacuated_at = revision;
@@ -184,21 +186,21 @@
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     int was = t->is_evacuated;
     t->is_evacuated = is_evacuated(f, t);
-    is_news |= was != t->is_evacuated;
+    changed |= was != t->is_evacuated;
     if (was && !t->is_evacuated)
       t->cold.doubt_at = now;
   }
-  return is_news || before != n;
+  return changed || before != n;
 }
 
-static void write_down(const pw_fleet *f, pw_target *t, const pw_beat *b,
-                       int64_t heard_at) {
+static void store_heartbeat(const pw_fleet *f, pw_target *t, const pw_beat *b,
+                            int64_t heard_at) {
   pw_copy(t->service, sizeof t->service, b->service);
   pw_copy(t->availability_zone, sizeof t->availability_zone,
           b->availability_zone);
   pw_copy(t->address, sizeof t->address, b->address);
   pwtcp_address(b->address, &t->addr);
-  if (b->version[0]) /* one of a start does not change */
+  if (b->version[0]) /* fixed for an incarnation, so an empty one keeps it */
     pw_copy(t->version, sizeof t->version, b->version);
   t->slots = b->slots > 0 ? b->slots : SLOTS_DEFAULT;
   t->cold.until = b->cold_ms > 0 ? heard_at + b->cold_ms : 0;
@@ -207,49 +209,49 @@
 
 static void displace(pw_target *t) {
   t->is_gone = t->is_displaced = 1;
-  t->claimed_at = 0;
+  t->reclaimed_at = 0;
 }
 
-/* An address is one target's: who was heard there before has ended. */
-static void take_address(pw_fleet *f, pw_target *owner) {
+/* An address belongs to one target, so a target that was heard there earlier has ended. */
+static void claim_address(pw_fleet *f, pw_target *owner) {
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     if (t != owner && !t->is_gone && !strcmp(t->address, owner->address))
       displace(t->heard_at <= owner->heard_at ? t : owner);
 }
 
-/* Whether a displaced target is there all the same: what displaced it was a heartbeat of
-** an earlier start at its address that came late. It goes on saying so, while of one that
-** has crashed some more may come, all at once. */
-static int is_there_yet(const pw_fleet *f, pw_target *t, uint64_t seq,
-                        int64_t heard_at) {
+/* Whether a displaced target is still alive, because a late heartbeat of an earlier target at
+** its address displaced it. A live target keeps sending heartbeats, while those of a crashed
+** one that are still under way arrive all at once; so heartbeats must span half an interval. */
+static int is_still_alive(const pw_fleet *f, pw_target *t, uint64_t seq,
+                          int64_t heard_at) {
   if (!t->is_displaced || seq <= t->seq)
     return 0;
   t->seq = seq;
-  if (f->is_told)
+  if (f->trusts_updates)
     return 1;
-  if (t->claimed_at && heard_at - t->claimed_at >= f->beat_ms / 2)
+  if (t->reclaimed_at && heard_at - t->reclaimed_at >= f->beat_ms / 2)
     return 1;
-  if (!t->claimed_at)
-    t->claimed_at = heard_at;
+  if (!t->reclaimed_at)
+    t->reclaimed_at = heard_at;
   return 0;
 }
 
-/* It is there, by a heartbeat that tells something new. Gives whether it was not
-** thought to be. */
-static int note_there(pw_target *t, uint64_t seq) {
+/* Marks a target as alive after a new heartbeat. Returns whether it counted as silent or
+** gone. */
+static int note_alive(pw_target *t, uint64_t seq) {
   int was_away = t->is_silent || t->is_gone;
   t->seq = seq;
   t->is_silent = t->is_gone = t->is_displaced = 0;
   return was_away;
 }
 
-/* Whether it is cold for longer than was known, or no longer at all. */
-static pw_fleet_news cold_news(const pw_target *t, const pw_beat *b,
-                               int64_t heard_at) {
+/* Whether a heartbeat extends the cold phase of a target or ends it early. */
+static pw_fleet_news cold_change(const pw_target *t, const pw_beat *b,
+                                 int64_t heard_at) {
   int64_t until = heard_at + b->cold_ms;
-  if (b->cold_ms > 0 && until > t->cold.until + COLD_NEWS_MS)
+  if (b->cold_ms > 0 && until > t->cold.until + COLD_CHANGE_MS)
     return PWFLEET_COLD;
-  return b->cold_ms == 0 && t->cold.until > heard_at + COLD_NEWS_MS
+  return b->cold_ms == 0 && t->cold.until > heard_at + COLD_CHANGE_MS
              ? PWFLEET_WARM
              : PWFLEET_RENEWED;
 }
@@ -259,10 +261,10 @@
   pw_target *t = pwfleet_find(f, b->id);
   struct sockaddr_in addr;
   if (!gone && pwtcp_address(b->address, &addr) != 0)
-    return PWFLEET_OLD; /* says nothing that can be used */
-  uint64_t born = meant(t, b->born);
+    return PWFLEET_OLD; /* no usable address */
+  uint64_t born = resolve_born(t, b->born);
   if (t && born < t->born && (born || !gone))
-    return PWFLEET_OLD; /* of an earlier start */
+    return PWFLEET_OLD; /* an earlier incarnation */
   int is_restart = t && born > t->born;
   if (is_restart)
     retire(f, t);
@@ -277,16 +279,16 @@
     t->is_displaced = 0;
     return was_known ? PWFLEET_OLD : PWFLEET_GONE;
   }
-  int is_back = t->is_gone && is_there_yet(f, t, b->seq, heard_at);
+  int is_back = t->is_gone && is_still_alive(f, t, b->seq, heard_at);
   if (t->is_gone && !is_back)
     return PWFLEET_OLD;
   if (!is_new && !is_back && b->seq <= t->seq)
     return PWFLEET_OLD;
-  int was_away = note_there(t, b->seq);
-  pw_fleet_news cold = cold_news(t, b, heard_at);
-  write_down(f, t, b, heard_at);
+  int was_away = note_alive(t, b->seq);
+  pw_fleet_news cold = cold_change(t, b, heard_at);
+  store_heartbeat(f, t, b, heard_at);
   if (is_new || is_back)
-    take_address(f, t);
+    claim_address(f, t);
   if (is_new && f->nrollouts)
     pwflt_sort(f, t->service);
   int was_leaving = t->is_leaving;
@@ -303,26 +305,27 @@
 pw_fleet_news pwfleet_renew(pw_fleet *f, const char *id, uint64_t born,
                             uint64_t seq, int64_t heard_at) {
   pw_target *t = pwfleet_find(f, id);
-  if (t && t->born != meant(t, born))
+  if (t && t->born != resolve_born(t, born))
     return PWFLEET_OLD;
-  int is_back = t && is_there_yet(f, t, seq, heard_at);
+  int is_back = t && is_still_alive(f, t, seq, heard_at);
   if (!t || (t->is_gone && !is_back) || (!is_back && seq <= t->seq))
     return PWFLEET_OLD;
   if (heard_at > t->heard_at)
     note_heard(t, heard_at);
-  int was_away = note_there(t, seq);
+  int was_away = note_alive(t, seq);
   if (is_back)
-    take_address(f, t);
+    claim_address(f, t);
   return was_away ? PWFLEET_BACK : PWFLEET_RENEWED;
 }
 
 pw_fleet_news pwfleet_told_silent(pw_fleet *f, const char *id, uint64_t born,
                                   int silent, int64_t now) {
   pw_target *t = pwfleet_find(f, id);
-  if (!t || t->born != meant(t, born) || t->is_gone || t->is_silent == silent)
+  if (!t || t->born != resolve_born(t, born) || t->is_gone ||
+      t->is_silent == silent)
     return PWFLEET_OLD;
   t->is_silent = silent;
-  note_heard(t, now); /* when that was last known to be otherwise */
+  note_heard(t, now); /* the time of removal counts from this change */
   return silent ? PWFLEET_SILENT : PWFLEET_BACK;
 }
 
@@ -364,7 +367,7 @@
   pw_target *t, *tmp;
   sweep_retired(f);
   HASH_ITER(hh, f->by_id, t, tmp) {
-    int64_t silence = now - t->heard_at - t->excused_ms;
+    int64_t silence = now - t->heard_at - t->stalled_ms;
     if (judge && !t->is_gone && !t->is_silent &&
         silence > SILENT_BEATS * f->beat_ms) {
       t->is_silent = 1;
@@ -382,13 +385,13 @@
 void pwfleet_excuse(pw_fleet *f, int64_t ms) {
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     t->seen_at += ms;
-    t->excused_ms += ms;
+    t->stalled_ms += ms;
   }
   for (pw_target *t = f->retired; t; t = t->next_retired)
     t->seen_at += ms;
 }
 
-/* What the others have told under a key. */
+/* The sum that the other gateways reported under a key. */
 static uint32_t others_of(const pw_loads *all, const pw_loads *own,
                           uint32_t key) {
   uint32_t sum = pwloads_get(all, key);
@@ -401,7 +404,7 @@
   f->others_age_ms = age_ms;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     t->others = (int)others_of(all, own, t->short_hash);
-    t->others_rejects = others_of(all, own, t->reject_hash);
-    t->others_misses = others_of(all, own, t->miss_hash);
+    t->peer_rejects = others_of(all, own, t->reject_hash);
+    t->peer_connect_failures = others_of(all, own, t->miss_hash);
   }
 }
--- a/packages/membership/pwfleetint.h
+++ b/packages/membership/pwfleetint.h
@@ -1,4 +1,4 @@
-/* pwfleetint.h: state of a fleet, for pwfleet.c and pwfleetpick.c alone. */
+/* pwfleetint.h: private state of a fleet, for pwfleet.c, pwfleetpick.c and pwfleetroll.c. */
 #ifndef PWFLEETINT_H
 #define PWFLEETINT_H
 
@@ -8,27 +8,27 @@
   char *availability_zone;
   int64_t beat_ms;
   int64_t keep_ms;
-  uint64_t turn;
-  int64_t others_age_ms;
-  int is_told; /* by control instances, which have judged what they hear */
-  uint64_t evacuated_at; /* revision */
-  char **evacuated;      /* availability zones */
+  uint64_t turn;         /* counter of PWPICK_BY_TURN */
+  int64_t others_age_ms; /* age of the other gateways' reported loads */
+  int trusts_updates; /* updates come from control instances, which have checked them */
+  uint64_t evacuated_at; /* revision of `evacuated` */
+  char **evacuated;      /* names of availability zones */
   size_t nevacuated;
   pw_fleet_rollout *rollouts;
   size_t nrollouts;
   pw_target *by_id;
   pw_target *retired;
-  pw_pick *row; /* of the targets that are weighed ... */
-  pw_target **who;
-  size_t rows; /* ... for which there is room */
+  pw_pick *row;        /* candidates of one pick */
+  pw_target **targets; /* the target of each row */
+  size_t rows;         /* allocated length of both arrays */
 };
 
-/* Whether it is a target of that service and side. */
+/* Whether a target belongs to a service and is on this side of its rollout. */
 int pwflt_is_of(const pw_target *t, const char *service, pw_fleet_side side);
 
 /* --- pwfleetroll.c --- */
 
-/* Finds anew which side a service's targets are on. */
+/* Reassigns the targets of a service to the sides of its rollout. */
 void pwflt_sort(pw_fleet *f, const char *service);
 
 #endif
--- a/packages/membership/pwfleetpick.c
+++ b/packages/membership/pwfleetpick.c
@@ -1,5 +1,5 @@
-/* pwfleetpick.c: which of the known targets a request goes to, and what was seen of
-** each that speaks for or against it. */
+/* pwfleetpick.c: choice of a target for a request, and the evidence (answers, errors, failures)
+** that the choice uses. */
 #include "pwfleetint.h"
 
 #include "pwbuf.h"
@@ -8,37 +8,42 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One that answered this gateway within so many heartbeats is there, whatever
-** control hears of it. */
+/* A target that answered this gateway within this many heartbeat intervals counts as alive, even
+** if control instances report it as silent. */
 #define ALIVE_BEATS 3
 
-/* Set aside after a failure: at first, and at most; ms. */
-#define ASIDE_MS 400
-#define ASIDE_MAX_MS 6400
-#define ASIDE_AFTER 2 /* failures in a row */
+/* Length of the first ejection after failures, doubled with each further failure, and its
+** maximum, ms. */
+#define EJECT_MS 400
+#define EJECT_MAX_MS 6400
+#define EJECT_AFTER 2 /* consecutive failures */
 
-/* A target that sends nothing to this gateway for so long, ms, while requests
-** wait for it: several times what a busy one's events are apart. */
-#define DARK_MS 500
+/* Time without a byte after which a target with waiting requests counts as unresponsive, ms:
+** several times the interval between the events of a busy target. */
+#define UNRESPONSIVE_MS 500
 
-/* Errors: weight of the newest answer; the time in which a share fades by half
-** without answers, ms; and how far above the mean of its service a target's share
-** may be before others are preferred. */
-#define ERROR_SHARE 0.1
+/* Error share of a target: weight of the newest answer; half-life without answers, ms; and the
+** excess over the mean of the service from which other targets are preferred. */
+#define ERROR_WEIGHT 0.1
 #define ERROR_HALF_MS 1500.0
 #define ERROR_MARGIN 0.2
 
-#define WORK_SHARE 0.1 /* weight of the newest measurement */
-#define WORK_FIRST_MS                                                          \
-  50 /* while nothing was measured at any target of a service */
+/* Smoothed duration of a request: weight of the newest measurement, and the value while no
+** target of a service has been measured, ms. */
+#define WORK_WEIGHT 0.1
+#define WORK_FIRST_MS 50
 
-/* A target is new for so many times as long as prompts are worth going back to:
-** by then those that are its own have been used there. */
+/* A target counts as new for this multiple of keep_ms: by then each prompt that belongs there has
+** been sent there, and is in its prompt cache. */
 #define NEW_TIMES 2
+
+/* Targets that joined within this many heartbeat intervals of the first one started together and
+** are not new to each other. */
 #define GENERATION_BEATS 4
 
-/* --- picking --- */
+/* --- candidates --- */
 
+/* Whether heartbeats or a recent answer show that a target is alive. */
 static int is_heard(const pw_fleet *f, const pw_target *t, int64_t now) {
   return !t->is_silent || now - t->answered_at <= ALIVE_BEATS * f->beat_ms;
 }
@@ -47,29 +52,30 @@
   return t->errors * exp2(-(double)(now - t->errors_at) / ERROR_HALF_MS);
 }
 
-/* What targets of a service have in common at one moment. */
-typedef struct common {
+/* Figures over all targets of a service at one moment. */
+typedef struct service_stats {
   const char *service;
   pw_fleet_side side;
   int64_t now;
-  int64_t oldest;  /* when the first of them joined, ms */
-  double errors;   /* mean share of errors */
-  double others;   /* mean of what other gateways have there */
-  double work_ms;  /* mean time of one request, where it was measured */
-  int most_silent; /* more than half of them: who listens is at fault */
-} common;
+  int64_t oldest; /* earliest joined_at, ms */
+  double errors;  /* mean error share */
+  double others;  /* mean number of other gateways' requests */
+  double work_ms; /* mean measured duration of a request */
+  int most_silent; /* more than half are silent, so the receiver of the heartbeats is at fault */
+} service_stats;
 
 int pwflt_is_of(const pw_target *t, const char *service, pw_fleet_side side) {
   if (strcmp(t->service, service) != 0)
     return 0;
   if (side == PWFLEET_TO)
-    return t->side == PWFLEET_TO && t->takes_part;
+    return t->side == PWFLEET_TO && t->is_in_canary;
   return side == PWFLEET_BOTH || t->side != PWFLEET_TO;
 }
 
-static common common_of(const pw_fleet *f, const char *service,
-                        pw_fleet_side side, int64_t now) {
-  common c = {.service = service, .side = side, .now = now, .oldest = now};
+static service_stats stats_of(const pw_fleet *f, const char *service,
+                              pw_fleet_side side, int64_t now) {
+  service_stats c = {
+      .service = service, .side = side, .now = now, .oldest = now};
   int n = 0, silent = 0, measured = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (t->is_gone || !pwflt_is_of(t, service, side))
@@ -90,28 +96,30 @@
   return c;
 }
 
-/* One that nothing is known of is taken for one like the others: with a time of its own it got
-** no request while the others had less to do. */
-static double work_of(const pw_target *t, const common *c) {
+/* Duration of a request at a target. An unmeasured target gets the mean of its service: with a
+** fixed initial value it got no request while the others were less loaded. */
+static double work_of(const pw_target *t, const service_stats *c) {
   return t->work_ms > 0 ? t->work_ms : c->work_ms;
 }
 
-static int is_alive(const pw_fleet *f, const pw_target *t, const common *c) {
+static int is_alive(const pw_fleet *f, const pw_target *t,
+                    const service_stats *c) {
   return !t->is_gone && (c->most_silent || is_heard(f, t, c->now)) &&
          t->set_aside <= c->now;
 }
 
-/* Whether it stays, and where it stands. */
-static int stays(const pw_target *t) {
-  return !t->is_gone && !t->is_leaving && !t->says_leaving &&
+/* Whether a target stays in service: it is not leaving, evacuated, outdated or gone. */
+static int stays_in_service(const pw_target *t) {
+  return !t->is_gone && !t->is_leaving && !t->announced_leaving &&
          !t->is_evacuated && !t->is_outdated;
 }
 
 int pwfleet_may_send(const pw_target *t, int64_t now) {
-  return stays(t) && pwholdoff_left(&t->hold_off, now) == 0;
+  return stays_in_service(t) && pwholdoff_left(&t->hold_off, now) == 0;
 }
 
-static int is_usable(const pw_fleet *f, const pw_target *t, const common *c) {
+static int is_usable(const pw_fleet *f, const pw_target *t,
+                     const service_stats *c) {
   return is_alive(f, t, c) && pwfleet_may_send(t, c->now) &&
          errors_of(t, c->now) <= c->errors + ERROR_MARGIN;
 }
@@ -125,7 +133,7 @@
 
 int pwfleet_has_other(pw_fleet *f, const char *service, pw_fleet_side side,
                       pw_target *const *tried, int ntried, int64_t now) {
-  common c = common_of(f, service, side, now);
+  service_stats c = stats_of(f, service, side, now);
   for (const pw_target *t = f->by_id; t; t = t->hh.next)
     if (pwflt_is_of(t, service, side) && is_usable(f, t, &c) &&
         !is_among(t, tried, ntried))
@@ -135,8 +143,8 @@
 
 static int count(const pw_fleet *f, const char *service, int64_t now,
                  int (*fits)(const pw_fleet *f, const pw_target *t,
-                             const common *c)) {
-  common c = common_of(f, service, PWFLEET_BOTH, now);
+                             const service_stats *c)) {
+  service_stats c = stats_of(f, service, PWFLEET_BOTH, now);
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     n += !strcmp(t->service, service) && fits(f, t, &c);
@@ -154,7 +162,7 @@
 int64_t pwfleet_held_off(pw_fleet *f, const char *service, int64_t now) {
   int64_t least = 0;
   for (const pw_target *t = f->by_id; t; t = t->hh.next) {
-    if (strcmp(t->service, service) != 0 || !stays(t))
+    if (strcmp(t->service, service) != 0 || !stays_in_service(t))
       continue;
     int64_t left = pwholdoff_left(&t->hold_off, now);
     if (left == 0)
@@ -167,7 +175,7 @@
 
 pw_fleet_sum pwfleet_sum(pw_fleet *f, const char *service, pw_fleet_side side,
                          int64_t now) {
-  common c = common_of(f, service, side, now);
+  service_stats c = stats_of(f, service, side, now);
   pw_fleet_sum out = {0};
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
@@ -190,150 +198,162 @@
   return is_among(t, ask->tried, ask->ntried);
 }
 
-/* Targets that started together are not new to each other. */
-static int is_new(const pw_fleet *f, const pw_target *t, const common *c) {
+/* Whether a target joined so recently, and so long after the oldest, that others may still have
+** its prompts cached. */
+static int is_new(const pw_fleet *f, const pw_target *t,
+                  const service_stats *c) {
   return c->now - t->joined_at < NEW_TIMES * f->keep_ms &&
          t->joined_at - c->oldest > GENERATION_BEATS * f->beat_ms;
 }
 
-static int find_row(pw_target *const *who, const pw_pick *row, int n,
+/* Index of the live target with a short hash; -1: none. */
+static int find_row(pw_target *const *targets, const pw_pick *row, int n,
                     uint32_t short_hash) {
   for (int i = 0; short_hash && i < n; i++)
-    if (who[i]->short_hash == short_hash && row[i].is_alive)
+    if (targets[i]->short_hash == short_hash && row[i].is_alive)
       return i;
   return -1;
 }
 
-/* Requests at a target. Where requests are short, how the other gateways' differ from
-** their mean is out of date: all gateways would send to who had the fewest when they were
-** told last. */
-static double load_of(const pw_fleet *f, const pw_target *t, const common *c,
-                      const pw_fleet_ask *ask) {
+/* Estimated requests in flight at a target. The reported requests of other gateways are pulled
+** towards their mean by their age relative to the duration of a request: with short requests
+** the report is out of date, and all gateways would send to the target that was the least
+** loaded in it. */
+static double load_of(const pw_fleet *f, const pw_target *t,
+                      const service_stats *c, const pw_fleet_ask *ask) {
   if (ask->is_sticky)
     return t->inflight + t->others;
-  double is_still_so = exp(-(double)f->others_age_ms / work_of(t, c));
-  return t->inflight + round(c->others + is_still_so * (t->others - c->others));
+  double freshness = exp(-(double)f->others_age_ms / work_of(t, c));
+  return t->inflight + round(c->others + freshness * (t->others - c->others));
 }
 
+/* Whether a target has an idle connection or may get another one. */
 static int has_connection(const pw_target *t, const pw_fleet_ask *ask) {
   return ask->conns == 0 || t->idle || t->nconns < ask->conns;
 }
 
-/* Whether this gateway may send to it, warm or cold. */
-static int is_its_turn(pw_target *t, const pw_fleet_ask *ask, int64_t now) {
+/* Whether the rate limit of a cold target lets this gateway send to it now; always so for a warm
+** one. */
+static int passes_cold_limit(pw_target *t, const pw_fleet_ask *ask,
+                             int64_t now) {
   return pwcold_may(&t->cold, &ask->cold, ask->part, ask->draw, now);
 }
 
 static int has_rejected(const pw_target *t, int64_t now) {
-  return t->others_rejects || pwreject_is_recent(&t->rejects, now);
+  return t->peer_rejects || pwreject_is_recent(&t->rejects, now);
 }
 
-static int has_missed(const pw_target *t, int64_t now) {
-  return t->others_misses || pwreject_is_recent(&t->misses, now);
+static int is_unreachable(const pw_target *t, int64_t now) {
+  return t->peer_connect_failures || pwreject_is_recent(&t->misses, now);
 }
 
-/* Whether others are preferred: it can't be reached, or turns requests away and there are few retries
-** left. While there are enough, what it does take is worth more than the hop: at three times the load,
-** with a third of the targets turning four in ten away, the others alone had too much. */
+/* Whether other targets are preferred, because connects to this one fail, or because it rejects
+** requests and few retries are left. While retries last, the requests that it does take are worth
+** the extra hops: at three times the load, with a third of the targets rejecting four in ten, the
+** other targets alone were overloaded. */
 static int is_avoided(const pw_target *t, const pw_fleet_ask *ask,
                       int64_t now) {
-  return has_missed(t, now) || (ask->spares_retries && has_rejected(t, now));
+  return is_unreachable(t, now) ||
+         (ask->spares_retries && has_rejected(t, now));
 }
 
-/* The targets of the service as rows; gives how many. */
-static int fill_rows(pw_fleet *f, const pw_fleet_ask *ask, const common *c,
-                     pw_pick *row, pw_target **who) {
+/* Fills one row for each target of the service. Returns their number. */
+static int fill_rows(pw_fleet *f, const pw_fleet_ask *ask,
+                     const service_stats *c, pw_pick *row,
+                     pw_target **targets) {
   int n = 0, usable = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (t->is_gone || !pwflt_is_of(t, ask->service, ask->side))
       continue;
-    row[n] = (pw_pick){
-        .id = t->hash,
-        .load = load_of(f, t, c, ask),
-        .own = t->inflight,
-        .slots = t->slots,
-        .work_ms = work_of(t, c),
-        .is_usable = is_usable(f, t, c) && !was_tried(ask, t) &&
-                     has_connection(t, ask) && is_its_turn(t, ask, c->now),
-        .counts = is_usable(f, t, c),
-        .is_near = !strcmp(t->availability_zone, f->availability_zone),
-        .is_alive = is_alive(f, t, c),
-        .is_new = is_new(f, t, c)};
+    row[n] = (pw_pick){.id = t->hash,
+                       .load = load_of(f, t, c, ask),
+                       .own = t->inflight,
+                       .slots = t->slots,
+                       .work_ms = work_of(t, c),
+                       .is_usable = is_usable(f, t, c) && !was_tried(ask, t) &&
+                                    has_connection(t, ask) &&
+                                    passes_cold_limit(t, ask, c->now),
+                       .counts = is_usable(f, t, c),
+                       .is_near =
+                           !strcmp(t->availability_zone, f->availability_zone),
+                       .is_alive = is_alive(f, t, c),
+                       .is_new = is_new(f, t, c)};
     usable += row[n].is_usable;
-    who[n++] = t;
+    targets[n++] = t;
   }
-  /* Where none is usable, whatever may be sent to is the last resort. */
+  /* If no target is usable, any target that accepts requests is the last resort. */
   for (int i = 0; usable == 0 && i < n; i++)
-    row[i].is_usable = pwfleet_may_send(who[i], c->now) &&
-                       !was_tried(ask, who[i]) && has_connection(who[i], ask) &&
-                       is_its_turn(who[i], ask, c->now);
+    row[i].is_usable = pwfleet_may_send(targets[i], c->now) &&
+                       !was_tried(ask, targets[i]) &&
+                       has_connection(targets[i], ask) &&
+                       passes_cold_limit(targets[i], ask, c->now);
   return n;
 }
 
 static int pick_row(pw_fleet *f, const pw_fleet_ask *ask, const pw_pick *row,
                     int n) {
-  static const pw_pick_bound boundless = {1e9, 1e9, 0, 0};
+  static const pw_pick_bound no_bound = {1e9, 1e9, 0, 0};
   int best = -1;
   if (ask->how == PWPICK_BY_TURN)
     return pwpick_turn(row, n, f->turn++);
   if (ask->how == PWPICK_BY_HASH && ask->is_sticky)
-    return pwpick_home(row, n, ask->key, boundless);
+    return pwpick_home(row, n, ask->key, no_bound);
   if (ask->how == PWPICK_BY_HOME && ask->is_sticky)
     best = pwpick_home(row, n, ask->key, ask->bound);
-  int stays = ask->how == PWPICK_BY_HOME && ask->is_sticky && ask->stays;
-  if (best < 0 && !stays)
+  int home_only = ask->how == PWPICK_BY_HOME && ask->is_sticky && ask->stays;
+  if (best < 0 && !home_only)
     best = pwpick_least(row, n, ask->wait_ms, ask->draw, ask->bound);
   return best;
 }
 
-/* One that is avoided is picked only when no other has clear room. With less than that, at high load, the
-** others would be late with what it can do. */
-static int pick_of_all(pw_fleet *f, const pw_fleet_ask *ask, pw_pick *row,
-                       pw_target *const *who, int n, int64_t now) {
+/* Picks an avoided target only if no other one has ample free slots. With fewer free slots, at
+** high load, requests would queue at the others while the avoided target could run some. */
+static int pick_preferred(pw_fleet *f, const pw_fleet_ask *ask, pw_pick *row,
+                          pw_target *const *targets, int n, int64_t now) {
   int best = pick_row(f, ask, row, n);
-  if (best < 0 || !is_avoided(who[best], ask, now))
+  if (best < 0 || !is_avoided(targets[best], ask, now))
     return best;
   for (int i = 0; i < n; i++)
-    row[i].is_usable &= !is_avoided(who[i], ask, now) &&
+    row[i].is_usable &= !is_avoided(targets[i], ask, now) &&
                         pwreject_had_room(row[i].load + 1, row[i].slots);
   int other = pick_row(f, ask, row, n);
   return other >= 0 ? other : best;
 }
 
-/* Rows for all targets that are known. */
-static void make_room(pw_fleet *f) {
+/* Grows the rows to hold all known targets. */
+static void reserve_rows(pw_fleet *f) {
   size_t n = HASH_COUNT(f->by_id);
   if (n <= f->rows)
     return;
   f->rows = 2 * n;
   free(f->row);
-  free(f->who);
+  free(f->targets);
   f->row = pw_alloc(sizeof *f->row * f->rows);
-  f->who = pw_alloc(sizeof(pw_target *) * f->rows);
+  f->targets = pw_alloc(sizeof(pw_target *) * f->rows);
 }
 
 pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_ask *ask,
                              int64_t now) {
   pw_fleet_picked out = {0};
-  make_room(f);
+  reserve_rows(f);
   pw_pick *row = f->row;
-  pw_target **who = f->who;
-  common c = common_of(f, ask->service, ask->side, now);
-  int n = fill_rows(f, ask, &c, row, who);
-  int best = pick_of_all(f, ask, row, who, n, now);
+  pw_target **targets = f->targets;
+  service_stats c = stats_of(f, ask->service, ask->side, now);
+  int n = fill_rows(f, ask, &c, row, targets);
+  int best = pick_preferred(f, ask, row, targets, n, now);
   if (best < 0)
     return out;
-  out.target = pwfleet_hold(who[best]);
-  pwcold_sent(&who[best]->cold, &ask->cold, ask->part, now);
+  out.target = pwfleet_hold(targets[best]);
+  pwcold_sent(&targets[best]->cold, &ask->cold, ask->part, now);
   if (!ask->is_sticky)
     return out;
   int home = pwpick_holder(row, n, ask->key);
-  int last = find_row(who, row, n, ask->last);
+  int last = find_row(targets, row, n, ask->last);
   int holder = last >= 0 && last != best ? last : home;
   out.is_home = home == best;
   if (last != best && (holder < 0 || holder == best))
-    holder = find_row(who, row, n, ask->beginning);
-  out.holder = holder >= 0 && holder != best ? who[holder] : NULL;
+    holder = find_row(targets, row, n, ask->beginning);
+  out.holder = holder >= 0 && holder != best ? targets[holder] : NULL;
   return out;
 }
 
@@ -341,7 +361,7 @@
 
 static void note_error(pw_target *t, double is_error, int64_t now) {
   double before = errors_of(t, now);
-  t->errors = before + ERROR_SHARE * (is_error - before);
+  t->errors = before + ERROR_WEIGHT * (is_error - before);
   t->errors_at = now;
 }
 
@@ -352,9 +372,9 @@
 }
 
 int pwfleet_note_leaving(pw_target *t) {
-  int is_news = !t->says_leaving;
-  t->says_leaving = 1;
-  return is_news;
+  int is_new_info = !t->announced_leaving;
+  t->announced_leaving = 1;
+  return is_new_info;
 }
 
 int pwfleet_note_hold_off(pw_target *t, int64_t ms, int64_t now) {
@@ -369,7 +389,7 @@
   if (work_ms > 0 && t->work_ms == 0)
     t->work_ms = work_ms;
   else if (work_ms > 0)
-    t->work_ms += WORK_SHARE * (work_ms - t->work_ms);
+    t->work_ms += WORK_WEIGHT * (work_ms - t->work_ms);
 }
 
 void pwfleet_erred(pw_target *t, int64_t now) {
@@ -379,26 +399,26 @@
 }
 
 int pwfleet_is_dark(const pw_target *t, int64_t now) {
-  return now - t->seen_at > DARK_MS;
+  return now - t->seen_at > UNRESPONSIVE_MS;
 }
 
-static void set_aside(pw_target *t, int doublings, int64_t now) {
-  int64_t ms = ASIDE_MS << (doublings < 4 ? doublings : 4);
-  t->set_aside = now + (ms < ASIDE_MAX_MS ? ms : ASIDE_MAX_MS);
+static void eject(pw_target *t, int doublings, int64_t now) {
+  int64_t ms = EJECT_MS << (doublings < 4 ? doublings : 4);
+  t->set_aside = now + (ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
 }
 
 void pwfleet_failed(pw_target *t, int64_t now) {
   t->failures++;
-  if (t->failures >= ASIDE_AFTER)
-    set_aside(t, t->failures - ASIDE_AFTER, now);
+  if (t->failures >= EJECT_AFTER)
+    eject(t, t->failures - EJECT_AFTER, now);
 }
 
-/* One lost packet keeps a connection from coming up in time: that alone says
-** nothing of a target that has just sent something. */
+/* A single lost packet can delay a connection past its timeout, so one failed connect does not
+** count against a target that has sent something lately. */
 void pwfleet_unreached(pw_target *t, int64_t now) {
   t->failures++;
-  if (t->failures < ASIDE_AFTER && !pwfleet_is_dark(t, now))
+  if (t->failures < EJECT_AFTER && !pwfleet_is_dark(t, now))
     return;
-  set_aside(t, t->failures - 1, now);
-  pwreject_note(&t->misses, now); /* each gateway would wait in vain, too */
+  eject(t, t->failures - 1, now);
+  pwreject_note(&t->misses, now); /* spares other gateways the same timeout */
 }
--- a/packages/membership/pwfleetroll.c
+++ b/packages/membership/pwfleetroll.c
@@ -1,4 +1,4 @@
-/* pwfleetroll.c: services that are rolled out to targets of another version. */
+/* pwfleetroll.c: sides of a service's targets while it is rolled out to another version. */
 #include "pwfleetint.h"
 
 #include "pwbuf.h"
@@ -14,30 +14,31 @@
   return NULL;
 }
 
-static int is_under_way(const pw_fleet_rollout *r) {
+static int is_running(const pw_fleet_rollout *r) {
   return r && r->canary.state != PWCANARY_COMPLETE;
 }
 
 static pw_fleet_side side_of(const pw_target *t, const pw_fleet_rollout *r) {
-  if (!is_under_way(r))
+  if (!is_running(r))
     return PWFLEET_BOTH;
   return strcmp(t->version, r->version) ? PWFLEET_FROM : PWFLEET_TO;
 }
 
-/* One takes part at least, the same at all gateways: that with the least hash. */
-static void choose_part(pw_fleet *f, const pw_fleet_rollout *r) {
+/* Puts targets of the new version into the canary, at least one: the one with the least hash,
+** so that all gateways choose the same. */
+static void choose_canary(pw_fleet *f, const pw_fleet_rollout *r) {
   pw_target *least = NULL;
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (strcmp(t->service, r->service) != 0 || t->side != PWFLEET_TO)
       continue;
-    t->takes_part = pwcanary_takes_part(t->hash, r->canary.share);
-    n += t->takes_part;
+    t->is_in_canary = pwcanary_takes_part(t->hash, r->canary.share);
+    n += t->is_in_canary;
     if (!t->is_gone && (!least || t->hash < least->hash))
       least = t;
   }
   if (n == 0 && least && r->canary.share > 0)
-    least->takes_part = 1;
+    least->is_in_canary = 1;
 }
 
 void pwflt_sort(pw_fleet *f, const char *service) {
@@ -45,13 +46,13 @@
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     if (!strcmp(t->service, service))
       t->side = side_of(t, r);
-  if (is_under_way(r))
-    choose_part(f, r);
+  if (is_running(r))
+    choose_canary(f, r);
 }
 
-/* What is complete leaves the targets of other versions that are there behind; those that
-** come later belong to what comes next. */
-static void note_complete(pw_fleet *f, const pw_fleet_rollout *before,
+/* Marks the targets of other versions as outdated when a rollout completes. Targets of other
+** versions that join later are not marked: they belong to the next rollout. */
+static void mark_outdated(pw_fleet *f, const pw_fleet_rollout *before,
                           const pw_fleet_rollout *now) {
   if (!before || !now || before->canary.state != PWCANARY_RUNNING ||
       now->canary.state != PWCANARY_COMPLETE)
@@ -69,7 +70,7 @@
     memcpy(f->rollouts, list, sizeof *list * n);
   f->nrollouts = n;
   for (size_t i = 0; i < n; i++) {
-    note_complete(f, find(before, nbefore, list[i].service), &list[i]);
+    mark_outdated(f, find(before, nbefore, list[i].service), &list[i]);
     pwflt_sort(f, list[i].service);
   }
   for (size_t i = 0; i < nbefore; i++)
@@ -81,7 +82,7 @@
 pw_fleet_side pwfleet_side(const pw_fleet *f, const char *service,
                            double draw) {
   const pw_fleet_rollout *r = find(f->rollouts, f->nrollouts, service);
-  if (!is_under_way(r))
+  if (!is_running(r))
     return PWFLEET_BOTH;
   return draw * PWCANARY_ALL < r->canary.share ? PWFLEET_TO : PWFLEET_FROM;
 }
--- a/packages/membership/pwloads.c
+++ b/packages/membership/pwloads.c
@@ -1,4 +1,4 @@
-/* pwloads.c: requests at targets, by short hash. */
+/* pwloads.c: counts by 32-bit key, in an open-addressing hash table. */
 #include "pwloads.h"
 
 #include "pwbuf.h"
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CAP_FIRST 64 /* a power of two; at most half of it is used */
+#define CAP_FIRST 64 /* a power of two; the table is at most half full */
 
 void pwloads_free(pw_loads *l) {
   free(l->row);
--- a/packages/membership/pwwhere.c
+++ b/packages/membership/pwwhere.c
@@ -1,4 +1,4 @@
-/* pwwhere.c: where prompts were sent last. */
+/* pwwhere.c: affinity table, which maps a prompt to the target that got it last. */
 #include "pwwhere.h"
 
 #include "pwbuf.h"
@@ -6,16 +6,16 @@
 #include <stdlib.h>
 #include <xxhash.h>
 
-#define PLACES 16384 /* prompts that are remembered, a power of two */
+#define ROWS 16384 /* most prompts in the table, a power of two */
 
-typedef struct place {
+typedef struct row {
   uint64_t key;
   int64_t at;
   uint32_t target;
-} place;
+} row;
 
 struct pw_where {
-  place places[PLACES];
+  row rows[ROWS];
 };
 
 pw_where *pwwhere_new(void) {
@@ -27,18 +27,18 @@
 }
 
 static size_t index_of(uint64_t key) {
-  return XXH3_64bits(&key, sizeof key) & (PLACES - 1);
+  return XXH3_64bits(&key, sizeof key) & (ROWS - 1);
 }
 
 void pwwhere_note(pw_where *w, uint64_t key, uint32_t target, int64_t now) {
-  place *p = &w->places[index_of(key)];
-  if (p->key == key && p->at > now)
+  row *r = &w->rows[index_of(key)];
+  if (r->key == key && r->at > now)
     return;
-  *p = (place){key, now, target};
+  *r = (row){key, now, target};
 }
 
 uint32_t pwwhere_find(const pw_where *w, uint64_t key, int64_t now,
                       int64_t keep_ms) {
-  const place *p = &w->places[index_of(key)];
-  return p->key == key && p->target && now - p->at <= keep_ms ? p->target : 0;
+  const row *r = &w->rows[index_of(key)];
+  return r->key == key && r->target && now - r->at <= keep_ms ? r->target : 0;
 }
--- a/packages/membership/pwwhere.h
+++ b/packages/membership/pwwhere.h
@@ -1,7 +1,7 @@
-/* pwwhere.h: where prompts were sent last, in a table of fixed size.
+/* pwwhere.h: affinity table of fixed size, which maps a prompt to the target that got it last.
 **
-** A newer note about another prompt may take a place: what is forgotten costs a
-** prompt read again, nothing else. */
+** A prompt may overwrite the row of another one with the same index. A lost row costs one
+** prompt cache miss and nothing else. */
 #ifndef PWWHERE_H
 #define PWWHERE_H
 
@@ -13,10 +13,10 @@
 pw_where *pwwhere_new(void);
 void pwwhere_free(pw_where *w);
 
-/* The prompt of `key` was sent to the target of this short hash at `now`, ms. */
+/* Records that the prompt of `key` was sent to the target with this short hash at `now`, ms. */
 void pwwhere_note(pw_where *w, uint64_t key, uint32_t target, int64_t now);
 
-/* Where it was sent last, if not longer ago than keep_ms; 0: not known. */
+/* Short hash of the target that got the prompt last, within keep_ms; 0: unknown. */
 uint32_t pwwhere_find(const pw_where *w, uint64_t key, int64_t now,
                       int64_t keep_ms);
 
