--- a/packages/wire/pwkeys.c
+++ b/packages/wire/pwkeys.c
@@ -1,4 +1,4 @@
-/* pwkeys.c: CURVE keys and ZeroMQ's authentication requests (RFC 27). */
+/* pwkeys.c: CURVE keys, and the handler of ZeroMQ's authentication requests (ZAP, RFC 27). */
 #include "pwkeys.h"
 
 #include <errno.h>
@@ -10,9 +10,9 @@
 #include <unistd.h>
 #include <zmq.h>
 
-#define KEY_TEXT 41 /* Z85 of 32 bytes, and a zero byte */
+#define KEY_TEXT 41 /* Z85 encoding of 32 bytes, and a zero byte */
 #define KEY_BYTES 32
-#define ZAP_PARTS 8
+#define ZAP_PARTS 8 /* most parts read of a request */
 
 typedef struct trusted {
   char key[KEY_TEXT];
@@ -38,7 +38,9 @@
   }
   if (n == 2 && strlen(k->public_key) == 40 && strlen(k->secret_key) == 40)
     return 0;
-  pwbuf_fmt(err, "%s: two keys of 40 letters are allowed\n", path);
+  pwbuf_fmt(err,
+            "%s: expected a public and a secret key of 40 characters each\n",
+            path);
   return -1;
 }
 
@@ -73,19 +75,19 @@
   return 0;
 }
 
-static void answer(void *zap, const zmq_msg_t *version, const zmq_msg_t *id,
-                   int yes) {
+static void send_reply(void *zap, const zmq_msg_t *version, const zmq_msg_t *id,
+                       int is_allowed) {
   zmq_send(zap, zmq_msg_data((zmq_msg_t *)version), zmq_msg_size(version),
            ZMQ_SNDMORE);
   zmq_send(zap, zmq_msg_data((zmq_msg_t *)id), zmq_msg_size(id), ZMQ_SNDMORE);
-  zmq_send(zap, yes ? "200" : "400", 3, ZMQ_SNDMORE);
+  zmq_send(zap, is_allowed ? "200" : "400", 3, ZMQ_SNDMORE);
   zmq_send(zap, "", 0, ZMQ_SNDMORE);
   zmq_send(zap, "", 0, ZMQ_SNDMORE);
   zmq_send(zap, "", 0, 0);
 }
 
-/* Parts of a request: version, request id, domain, address, identity,
-** mechanism, and for CURVE the client's public key. */
+/* Answers one request. Its parts are version, request id, domain, address, identity, mechanism
+** and, for CURVE, the connecting peer's public key. */
 static int serve_one(pw_keys *k) {
   zmq_msg_t part[ZAP_PARTS];
   int n = 0;
@@ -101,15 +103,16 @@
       return -1;
     }
   }
-  int yes = n >= 7 && zmq_msg_size(&part[6]) == KEY_BYTES &&
-            is_trusted(k, zmq_msg_data(&part[6]));
+  int is_allowed = n >= 7 && zmq_msg_size(&part[6]) == KEY_BYTES &&
+                   is_trusted(k, zmq_msg_data(&part[6]));
   if (n >= 2)
-    answer(k->zap, &part[0], &part[1], yes);
+    send_reply(k->zap, &part[0], &part[1], is_allowed);
   for (int i = 0; i < n; i++)
     zmq_msg_close(&part[i]);
   return 0;
 }
 
+/* Answers requests until the context is shut down. */
 static void *serve(void *arg) {
   pw_keys *k = arg;
   while (serve_one(k) == 0)
@@ -154,8 +157,8 @@
 }
 
 void pwkeys_serve(const pw_keys *k, void *socket) {
-  int yes = 1;
-  zmq_setsockopt(socket, ZMQ_CURVE_SERVER, &yes, sizeof yes);
+  int on = 1;
+  zmq_setsockopt(socket, ZMQ_CURVE_SERVER, &on, sizeof on);
   zmq_setsockopt(socket, ZMQ_CURVE_SECRETKEY, k->secret_key, KEY_TEXT);
 }
 
--- a/packages/wire/pwpb.c
+++ b/packages/wire/pwpb.c
@@ -1,4 +1,4 @@
-/* pwpb.c: copies of messages, by packing and unpacking. */
+/* pwpb.c: deep copies of messages, by packing and unpacking. */
 #include "pwpb.h"
 
 #include "pwbuf.h"
--- a/packages/wire/pwwire.c
+++ b/packages/wire/pwwire.c
@@ -1,4 +1,4 @@
-/* pwwire.c: messages over ZeroMQ. */
+/* pwwire.c: messages between peatwell's processes, over ZeroMQ. */
 #include "pwwire.h"
 
 #include "pwbuf.h"
@@ -26,8 +26,8 @@
 struct pw_sock {
   pw_wire *w;
   void *zmq;
-  void *monitor; /* tells of lost connections; NULL: a listener */
-  uint32_t dialled;
+  void *monitor;    /* reports lost connections; NULL on a listener */
+  uint32_t dialled; /* number of dials, for unique routing ids */
 };
 
 pw_wire *pwwire_new(const pw_settings *set, pw_counters *counters, pw_hlc *hlc,
@@ -113,7 +113,7 @@
   return s;
 }
 
-/* An event is two parts: number and value, then the address. */
+/* An event has two parts: its number and value, then the peer's address. */
 int pwwire_lost(pw_sock *s, char *addr, size_t cap) {
   uint8_t event[6];
   if (zmq_recv(s->monitor, event, sizeof event, ZMQ_DONTWAIT) < 0)
@@ -161,6 +161,7 @@
   return a->len == b->len && !memcmp(a->id, b->id, a->len);
 }
 
+/* Whether a message belongs to a request, rather than to the control traffic. */
 static int is_data(const Pw__Envelope *e) {
   switch (e->body_case) {
   case PW__ENVELOPE__BODY_RUN:
@@ -176,7 +177,7 @@
   }
 }
 
-/* The counter of a kind of control message besides the sum of all. */
+/* The byte counter of a kind of control message, kept in addition to the total; PWC_COUNT: none. */
 static pw_counter class_of(const Pw__Envelope *e) {
   switch (e->body_case) {
   case PW__ENVELOPE__BODY_WELCOME:
@@ -197,7 +198,8 @@
   }
 }
 
-/* What is told of a configuration document: it, or only who has it; not PWC_COUNT elsewhere. */
+/* The counter of a configuration document, or of a referral to a process that has it; PWC_COUNT
+** for other messages. */
 static pw_counter document_of(const Pw__Envelope *e) {
   if (e->body_case != PW__ENVELOPE__BODY_DOCUMENT)
     return PWC_COUNT;
@@ -233,7 +235,7 @@
   return 0;
 }
 
-/* Reads the rest of a message of more parts than ours have. */
+/* Reads and drops the further parts of a malformed message. */
 static void skip_parts(void *zmq) {
   int more = 1;
   size_t len = sizeof more;
