--- a/tests/test_consensus.c
+++ b/tests/test_consensus.c
@@ -1,8 +1,8 @@
-/* test_consensus.c: random models of a control group: messages lost, doubled,
-** late; crashes that lose what was not synced, freezes, cuts, swapped disks, a
-** second loss right after a repair. The real consensus, membership and state
-** code runs; disks and network are made up. A seed that fails is printed: run
-** again with PW_SEED. */
+/* test_consensus.c: randomized simulation of a control group, with messages that
+** are lost, duplicated or late, crashes that lose unsynced writes, stalls, cut
+** links, replaced disks, and a second loss right after a replacement. The real
+** consensus, membership and state code runs on simulated disks and network. A
+** failing seed is printed and can be run again with PW_SEED. */
 #include "pwbuf.h"
 #include "pwcons.h"
 #include "pwmember.h"
@@ -15,9 +15,9 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_SAME_IDENTITY = 13, /* an emptied disk comes back as who it was */
-  MUT_SKIP_SYNC = 14,     /* nothing is stored before it is spoken of */
-  MUT_STEADY_CLOCK = 30   /* time that a node was suspended is not counted */
+  MUT_SAME_IDENTITY = 13, /* a node with an emptied disk keeps its id */
+  MUT_SKIP_SYNC = 14,     /* nothing is stored before messages are sent */
+  MUT_STEADY_CLOCK = 30   /* a node's clock stops while it is suspended */
 };
 
 #define NODES 5
@@ -41,9 +41,9 @@
   disk d;
   pw_cons *cons;
   pw_state *state;
-  int up, frozen, cut;
-  int64_t wakes_at; /* suspended until then; 0: it is not */
-  int64_t lost;     /* ms that its clock did not count */
+  int up, frozen, cut; /* process runs; is stalled; its link is down */
+  int64_t wakes_at;    /* suspended until then; 0: not suspended */
+  int64_t lost;        /* suspended time that its clock did not count, ms */
   int64_t join_at;
   uint64_t applied;
 } node;
@@ -60,24 +60,25 @@
   int count;
   flight f[FLIGHT_MAX];
   int nf;
-  uint64_t applied_hash[LOG_MAX]; /* what each index held, for all time */
+  uint64_t applied_hash[LOG_MAX]; /* hash of the entry applied at each index */
   uint64_t leader_of[LOG_MAX];    /* by term */
-  uint64_t acked_revision;        /* newest accepted and told */
-  uint64_t owner[KEYS];           /* hash of who was granted the claim */
-  uint64_t resend_revision[KEYS];
-  uint64_t won[NAMES][VERSIONS_MAX]; /* revision that won against a version */
+  uint64_t acked_revision;        /* newest revision acknowledged to a caller */
+  uint64_t owner[KEYS]; /* hash of the id that was granted each claim */
+  uint64_t resend_revision[KEYS];    /* result of each change that was resent */
+  uint64_t won[NAMES][VERSIONS_MAX]; /* revision of the change accepted against
+                                     ** each version */
   uint64_t next_id, proposals, elections;
-  int size;           /* of a group whose members are named by address; 0: by
-                         number */
-  uint32_t next_slot; /* address of the next replacement */
-  node *flickers;     /* its link comes and goes until cut_at; NULL: nobody's */
+  int size;           /* fixed size of the group, whose members are named by
+                      ** address; 0: named by number */
+  uint32_t next_slot; /* slot of the next replacement */
+  node *flapping;     /* its link goes up and down until cut_at; or NULL */
   int64_t cut_at;
-  int calm;
-  pw_random
-      pauses; /* of their own, so that others' draws are as without them */
-  int suspends; /* nodes are suspended for a while, and disks are lost at the end */
+  int calm;         /* no more faults are injected */
+  pw_random pauses; /* separate from rnd, so that other random draws of a seed
+                    ** do not depend on suspensions */
+  int suspends;     /* suspends nodes, and loses disks at the end */
   int nsuspended;
-  const char *broken;
+  const char *broken; /* the first violation, or NULL */
 } model;
 
 static void violate(model *m, const char *what) {
@@ -116,7 +117,7 @@
   d->snapshot = copy;
 }
 
-static void disk_found(disk *d, const pw_cons_config *c) {
+static void disk_init(disk *d, const pw_cons_config *c) {
   d->snapshot = pw_alloc(sizeof *d->snapshot);
   pw__snapshot__init(d->snapshot);
   pwcons_config_pack(c, &d->snapshot->config);
@@ -124,7 +125,7 @@
 
 /* --- nodes --- */
 
-/* A node's clock, as pwclock_ms counts. */
+/* The time on a node's clock, as pwclock_ms gives it. */
 static int64_t now_of(const model *m, const node *x) {
   return m->now - x->lost;
 }
@@ -161,15 +162,15 @@
   x->up = 0;
 }
 
-static node *by_id(model *m, uint64_t id) {
+static node *find_node(model *m, uint64_t id) {
   for (int i = 0; i < m->count; i++)
     if (m->n[i].d.id == id)
       return &m->n[i];
   return NULL;
 }
 
-static void post(model *m, const node *from, const Pw__Cons *msg) {
-  const node *to = by_id(m, msg->to);
+static void send_message(model *m, const node *from, const Pw__Cons *msg) {
+  const node *to = find_node(m, msg->to);
   if (!to || from->cut || to->cut || m->nf + 2 >= FLIGHT_MAX)
     return;
   int bad = !m->calm;
@@ -223,7 +224,7 @@
   m->resend_revision[k] = o->revision;
 }
 
-/* Of changes written against one version, exactly one wins. */
+/* Of the changes made against one version, only one is accepted. */
 static void check_version(model *m, const Pw__Change *ch,
                           const Pw__Outcome *o) {
   const Pw__Put *p = ch->puts[0];
@@ -239,7 +240,7 @@
 
 enum { SUSPEND_STEPS = 150, SUSPEND_ACKS = 20, SUSPEND_LEASES = 3 };
 
-/* It stands still for up to some leases, at any moment. Its clock counts that time. */
+/* Suspends a node for up to SUSPEND_LEASES leases. Its clock counts that time. */
 static void suspend(model *m, node *x) {
   if (!x->up || x->frozen)
     return;
@@ -260,7 +261,7 @@
 
 static node *leader(model *m);
 
-/* The leader, or any one, in the middle of anything. */
+/* Suspends the leader or another node at a random step. */
 static void suspend_some(model *m) {
   if (m->calm || pwrand_below(&m->pauses, SUSPEND_STEPS))
     return;
@@ -270,7 +271,7 @@
   suspend(m, x);
 }
 
-/* Right as it tells that a change is accepted. */
+/* Suspends a leader just as it acknowledges a change. */
 static void suspend_at_ack(model *m, node *x) {
   if (!m->calm && pwrand_below(&m->pauses, SUSPEND_ACKS) == 0)
     suspend(m, x);
@@ -291,7 +292,7 @@
     check_resend(m, cmd->change, o);
     check_version(m, cmd->change, o);
   }
-  /* The leader tells the caller: from here on it may never be lost. */
+  /* The leader acknowledges the change to its caller: it must never be lost from here on. */
   int leads =
       pwcons_role(x->cons) == PWCONS_LEADER && e->term == pwcons_term(x->cons);
   if (o && o->code == PW_OK && leads && o->revision > m->acked_revision) {
@@ -316,7 +317,7 @@
   m->leader_of[term] = x->d.id;
 }
 
-/* A read under the lease sees every change that was told as accepted. */
+/* A read under the lease must see every acknowledged change. */
 static void read_under_lease(model *m, const node *x) {
   if (pwcons_lease(x->cons, now_of(m, x)) &&
       pwres_revision(pwstate_resources(x->state)) < m->acked_revision)
@@ -354,14 +355,14 @@
   pw_cons_ready r;
   while (pwcons_ready(x->cons, &r)) {
     for (size_t i = 0; i < r.nearly; i++)
-      post(m, x, r.early[i]);
+      send_message(m, x, r.early[i]);
     if (!m->calm && pwrand_below(&m->rnd, 2000) == 0) {
-      crash(x); /* before the sync: what was not stored is lost */
+      crash(x); /* before the sync, which loses unsynced writes */
       return;
     }
     store(x, &r);
     for (size_t i = 0; i < r.nlate; i++)
-      post(m, x, r.late[i]);
+      send_message(m, x, r.late[i]);
     pwcons_advance(x->cons);
     check_leader(m, x);
   }
@@ -427,9 +428,9 @@
       continue;
     }
     Pw__Cons *msg = m->f[i].m;
-    node *to = by_id(m, msg->to);
+    node *to = find_node(m, msg->to);
     if (to && to->up && to->frozen) {
-      i++; /* it waits in the socket */
+      i++; /* the message waits in the socket */
       continue;
     }
     m->f[i] = m->f[--m->nf];
@@ -441,7 +442,7 @@
   }
 }
 
-/* --- membership, as the daemon does it --- */
+/* --- membership changes, as the daemon makes them --- */
 
 static node *leader(model *m) {
   for (int i = 0; i < m->count; i++) {
@@ -463,14 +464,14 @@
     if (pwmember_next(l->cons, &me, LEASE, m->size, &next))
       pwcons_propose_config(l->cons, &next);
   } else if (!x->d.snapshot) {
-    disk_found(&x->d, now);
+    disk_init(&x->d, now);
     start(m, x);
   }
 }
 
-/* Whether this node has a say in the leader's configuration; without a set
-** size being a member is enough. */
-static int has_its_place(const model *m, const node *l, const node *x) {
+/* Whether a node is a voter in the leader's configuration, or any member in a
+** group without a fixed size. */
+static int is_settled(const model *m, const node *l, const node *x) {
   const pw_cons_config *c = pwcons_config(l->cons);
   for (int i = 0; i < c->n; i++)
     if (c->m[i].id == x->d.id)
@@ -495,43 +496,43 @@
     pwcons_propose_config(l->cons, &next);
 }
 
-/* An emptied disk comes back under a new id. */
-static void swap_disk(model *m, node *x) {
+/* Replaces a node's disk by an empty one: the node returns under a new id. */
+static void replace_disk(model *m, node *x) {
   uint64_t id =
       PW_MUTATION == MUT_SAME_IDENTITY ? x->d.id : pwrand(&m->rnd) | 1;
   crash(x);
   disk_clear(&x->d);
   x->d.id = id;
-  if (m->size && pwrand_below(&m->rnd, 2)) /* another machine in its place */
+  if (m->size && pwrand_below(&m->rnd, 2)) /* a replacement at a new address */
     x->slot = m->next_slot++;
   if (PW_MUTATION == MUT_SAME_IDENTITY) {
     node *l = leader(m);
     if (l) {
-      disk_found(&x->d, pwcons_config(l->cons));
+      disk_init(&x->d, pwcons_config(l->cons));
       start(m, x);
     }
   }
 }
 
-/* Whether every configured voter but `x` is whole: then losing x's disk loses
-** nothing that was accepted. */
+/* Whether enough voters besides `x` have their disk, so that the loss of x's
+** disk loses no accepted change. */
 static int may_lose(model *m, const node *x) {
   node *l = leader(m);
   if (!l || l == x)
     return 0;
   const pw_cons_config *c = pwcons_config(l->cons);
-  int whole = 0, voters = 0;
+  int with_disk = 0, voters = 0;
   for (int i = 0; i < c->n; i++) {
     if (!c->m[i].voter)
       continue;
-    const node *y = by_id(m, c->m[i].id);
+    const node *y = find_node(m, c->m[i].id);
     voters++;
-    whole += y && y != x && y->d.snapshot != NULL;
+    with_disk += y && y != x && y->d.snapshot != NULL;
   }
-  return whole >= voters - (voters - 1) / 2;
+  return with_disk >= voters - (voters - 1) / 2;
 }
 
-/* Power fails; all but `spared` (NULL: all) come back at once. */
+/* Restarts all nodes but `spared` (NULL: all) at once, as after a power failure. */
 static void restart_all(model *m, const node *spared) {
   for (int i = 0; i < m->count; i++) {
     node *x = &m->n[i];
@@ -544,7 +545,7 @@
   }
 }
 
-static void disturb(model *m) {
+static void inject_fault(model *m) {
   node *x = &m->n[pwrand_below(&m->rnd, (uint64_t)m->count)];
   switch (pwrand_below(&m->rnd, 16)) {
   case 0:
@@ -573,7 +574,7 @@
     break;
   case 11:
     if (may_lose(m, x))
-      swap_disk(m, x);
+      replace_disk(m, x);
     break;
   case 12:
     if (x->up && !x->frozen)
@@ -582,13 +583,14 @@
   case 13:
     restart_all(m, NULL);
     break;
-  case 14: /* the leader may hold a lease that nobody else remembers; its link comes and
-              goes while the others ask for votes, and is cut then */
-    m->flickers = leader(m);
+  case 14: /* All nodes but the leader restart. The leader may hold a lease that
+           ** the others have forgotten; its link flaps during their election
+           ** and is cut afterwards. */
+    m->flapping = leader(m);
     m->cut_at = m->now + LEASE / 5;
-    restart_all(m, m->flickers);
+    restart_all(m, m->flapping);
     break;
-  default: /* cut the leader off, the classical case */
+  default: /* cuts off the leader */
     if (leader(m))
       leader(m)->cut = 1;
     break;
@@ -598,13 +600,13 @@
 static void step(model *m) {
   m->now += 1 + (int64_t)pwrand_below(&m->rnd, 15);
   if (!m->calm && pwrand_below(&m->rnd, 60) == 0)
-    disturb(m);
+    inject_fault(m);
   if (m->suspends)
     suspend_some(m);
-  if (m->flickers && !m->calm)
-    m->flickers->cut = m->now >= m->cut_at || pwrand_below(&m->rnd, 4) > 0;
+  if (m->flapping && !m->calm)
+    m->flapping->cut = m->now >= m->cut_at || pwrand_below(&m->rnd, 4) > 0;
   if (m->now >= m->cut_at)
-    m->flickers = NULL;
+    m->flapping = NULL;
   for (int i = 0; i < m->count; i++) {
     node *x = &m->n[i];
     if (!x->d.snapshot) {
@@ -614,7 +616,7 @@
     wake(m, x);
     if (!x->up || x->frozen)
       continue;
-    read_under_lease(m, x); /* one that was frozen may be asked first */
+    read_under_lease(m, x); /* the first action after a stall may be a read */
     pwcons_tick(x->cons, now_of(m, x));
     int lost = m->size && pwcons_silence(x->cons) > 3 * LEASE;
     if (lost || pwmember_seeks(x->cons, x->d.id, LEASE))
@@ -630,18 +632,18 @@
   deliver(m);
 }
 
-/* As many disks are lost as may be, and all others lose power at the same moment. */
+/* Loses as many disks as may be lost, while all other nodes lose power. */
 static void lose_disks(model *m) {
   for (int i = 0; i < m->count; i++)
     if (may_lose(m, &m->n[i]))
-      swap_disk(m, &m->n[i]);
+      replace_disk(m, &m->n[i]);
   restart_all(m, NULL);
 }
 
-/* Everything is mended: the group must come to one leader and one state. */
+/* Ends all faults. The group must reach one leader and one state. */
 static void settle(model *m) {
   m->calm = 1;
-  m->flickers = NULL;
+  m->flapping = NULL;
   for (int i = 0; i < m->count; i++) {
     m->n[i].cut = 0;
     m->n[i].frozen = 0;
@@ -656,17 +658,17 @@
     done = l && pwcons_lease(l->cons, now_of(m, l));
     for (int i = 0; done && i < m->count; i++)
       done = m->n[i].up && m->n[i].applied + 20 > l->applied &&
-             has_its_place(m, l, &m->n[i]);
+             is_settled(m, l, &m->n[i]);
   }
   node *l = leader(m);
   if (!done)
-    violate(m, "the mended group did not come together");
+    violate(m, "the group did not recover after all faults ended");
   else if (pwres_revision(pwstate_resources(l->state)) < m->acked_revision)
     violate(m, "an accepted change was lost");
 }
 
-/* One line a node, to see what a failing seed came to. */
-static void show(const model *m) {
+/* Prints the state of each node, to analyse a failing seed. */
+static void print_nodes(const model *m) {
   for (int i = 0; i < m->count; i++) {
     const node *x = &m->n[i];
     printf("  slot %u id %016llx up %d snapshot %d", x->slot,
@@ -687,8 +689,8 @@
   }
 }
 
-/* A group whose disks are founded and whose nodes are not started yet. */
-static void found(model *m, uint64_t seed, int count) {
+/* Creates a group with initialised disks and no running nodes. */
+static void create_group(model *m, uint64_t seed, int count) {
   *m = (model){.rnd = {.seed = seed}, .now = 1000000};
   m->count = count ? count : (pwrand_below(&m->rnd, 3) ? 3 : 5);
   m->size = seed % 2 ? m->count : 0;
@@ -701,10 +703,10 @@
         (pw_cons_member){.id = m->n[i].d.id, .slot = m->n[i].slot, .voter = 1};
   }
   for (int i = 0; i < m->count; i++)
-    disk_found(&m->n[i].d, &c);
+    disk_init(&m->n[i].d, &c);
 }
 
-static void end(model *m) {
+static void free_group(model *m) {
   for (int i = 0; i < m->count; i++) {
     crash(&m->n[i]);
     disk_clear(&m->n[i].d);
@@ -716,7 +718,7 @@
 static const char *run_seed(uint64_t seed, int steps, int suspends,
                             uint64_t *proposals) {
   static model m; /* large */
-  found(&m, seed, 0);
+  create_group(&m, seed, 0);
   m.suspends = suspends;
   m.pauses = (pw_random){.seed = ~seed};
   for (int i = 0; i < m.count; i++)
@@ -728,19 +730,19 @@
   if (!m.broken)
     settle(&m);
   if (m.broken)
-    show(&m);
-  end(&m);
+    print_nodes(&m);
+  free_group(&m);
   CHECK(!suspends || m.broken || m.nsuspended > 0);
   *proposals += m.proposals;
   return m.broken;
 }
 
-/* All start within `spread` ms, on disks that hold a term, but for one that does not with
-** `absent`; gives how long it takes to a leader, ms: from the last start, or with
-** `absent` from when a quorum may vote, a lease after the third start. */
+/* Starts all nodes within `spread` ms, except one with `absent`. Returns the time until a leader
+** is elected, ms, from the last start; with `absent` from the end of a lease after the third
+** start, when a quorum may vote. */
 static int64_t cold_start(uint64_t seed, int64_t spread, int absent) {
   static model m; /* large */
-  found(&m, seed, NODES);
+  create_group(&m, seed, NODES);
   m.calm = 1;
   int64_t at[NODES], sorted[NODES];
   for (int i = 0; i < NODES; i++) {
@@ -759,14 +761,14 @@
     step(&m);
   }
   int64_t took = m.now - may_vote;
-  end(&m);
+  free_group(&m);
   return took;
 }
 
-/* A leader of one, which needs nobody to commit. */
+/* The leader of a group of one, which commits without replies. */
 static pw_cons *lone_leader(disk *d) {
   pw_cons_config c = {.n = 1, .m = {{.id = 1, .slot = 1, .voter = 1}}};
-  disk_found(d, &c);
+  disk_init(d, &c);
   pw_cons_setup s = {.id = 1,
                      .seed = 1,
                      .now = 5000,
@@ -791,19 +793,19 @@
   three.m[three.n++] = (pw_cons_member){.id = 3, .slot = 3, .voter = 1};
   CHECK(pwcons_propose_config(cons, &three) == PW_E_CONFLICT);
   CHECK(pwcons_propose_config(cons, &two) == PW_OK);
-  /* The second change waits until the first is committed. */
+  /* The second change must wait until the first is committed. */
   CHECK(pwcons_propose_config(cons, &three) == PW_E_CONFLICT);
   pwcons_free(cons);
   disk_clear(&d);
 }
 
-/* Member 1 of three, whose disk holds n entries of term 1. */
+/* Member 1 of three, with n entries of term 1 on its disk. */
 static pw_cons *one_of_three(disk *d, int n) {
   pw_cons_config c = {.n = 3};
   for (int i = 0; i < 3; i++)
     c.m[i] = (pw_cons_member){
         .id = (uint64_t)i + 1, .slot = (uint32_t)i + 1, .voter = 1};
-  disk_found(d, &c);
+  disk_init(d, &c);
   for (int i = 1; i <= n; i++) {
     Pw__Entry e = PW__ENTRY__INIT;
     e.term = 1;
@@ -823,7 +825,7 @@
   return pwcons_new(&s);
 }
 
-static void tell(pw_cons *c, int64_t now, Pw__Cons m) {
+static void receive_from_2(pw_cons *c, int64_t now, Pw__Cons m) {
   m.to = 1;
   m.from = 2;
   pwcons_step(c, now, &m);
@@ -842,28 +844,28 @@
   return m;
 }
 
-/* Entries of older terms commit only together with one of the own term. */
+/* Entries of older terms are committed only together with one of the current term. */
 static void test_old_terms(void) {
   disk d = {0};
   pw_cons *c = one_of_three(&d, 1);
   pwcons_tick(c, 9000);
-  tell(c, 9000, message(PWCONS_PREVOTE_REPLY, 2));
+  receive_from_2(c, 9000, message(PWCONS_PREVOTE_REPLY, 2));
   flush(c);
-  tell(c, 9000, message(PWCONS_VOTE_REPLY, 2));
+  receive_from_2(c, 9000, message(PWCONS_VOTE_REPLY, 2));
   flush(c);
   CHECK(pwcons_role(c) == PWCONS_LEADER);
   Pw__Cons m = message(PWCONS_APPEND_REPLY, 2);
   m.index = 1;
-  tell(c, 9001, m);
+  receive_from_2(c, 9001, m);
   CHECK(pwcons_commit(c) == 0);
   m.index = 2;
-  tell(c, 9002, m);
+  receive_from_2(c, 9002, m);
   CHECK(pwcons_commit(c) == 2);
   pwcons_free(c);
   disk_clear(&d);
 }
 
-/* A follower commits no further than what it knows to match. */
+/* A follower commits only entries that are known to match the leader's log. */
 static void test_commit_of_follower(void) {
   disk d = {0};
   pw_cons *c = one_of_three(&d, 3);
@@ -871,13 +873,13 @@
   m.index = 1;
   m.log_term = 1;
   m.commit = 3;
-  tell(c, 6000, m);
+  receive_from_2(c, 6000, m);
   CHECK(pwcons_commit(c) == 1);
   pwcons_free(c);
   disk_clear(&d);
 }
 
-/* A vote is on the disk before it is told. */
+/* A vote is stored before its reply is sent. */
 static void test_vote_is_synced(void) {
   disk d = {0};
   pw_cons_ready r;
@@ -885,7 +887,7 @@
   Pw__Cons m = message(PWCONS_VOTE, 2);
   m.index = 5;
   m.log_term = 1;
-  tell(c, 9000, m);
+  receive_from_2(c, 9000, m);
   CHECK(pwcons_ready(c, &r));
   CHECK(r.must_sync && r.term == 2 && r.vote == 2);
   CHECK(r.nearly == 0 && r.nlate == 1);
@@ -893,7 +895,7 @@
   disk_clear(&d);
 }
 
-/* The hint of the answer to a question for votes from member 3, whose log is longer. */
+/* The hint in the reply to a pre-vote request of member 3, whose log is longer. */
 static uint64_t hint_for(pw_cons *c, int64_t now) {
   pw_cons_ready r;
   Pw__Cons m = message(PWCONS_PREVOTE, 9);
@@ -911,21 +913,21 @@
   return hint;
 }
 
-/* Who has just started says so, until it leads or hears of a leader. */
+/* A member replies that it is new until it leads or hears from a leader. */
 static void test_who_is_new(void) {
   disk d = {0};
   pw_cons *c = one_of_three(&d, 1);
   uint64_t is_new = hint_for(c, 5001);
   CHECK(is_new != 0);
-  tell(c, 5002, message(PWCONS_APPEND, 2));
+  receive_from_2(c, 5002, message(PWCONS_APPEND, 2));
   CHECK(hint_for(c, 5003) == 0);
   pwcons_free(c);
   disk_clear(&d);
   c = one_of_three(&d, 1);
   pwcons_tick(c, 9000);
-  tell(c, 9000, message(PWCONS_PREVOTE_REPLY, 2));
+  receive_from_2(c, 9000, message(PWCONS_PREVOTE_REPLY, 2));
   flush(c);
-  tell(c, 9000, message(PWCONS_VOTE_REPLY, 2));
+  receive_from_2(c, 9000, message(PWCONS_VOTE_REPLY, 2));
   CHECK(pwcons_role(c) == PWCONS_LEADER);
   CHECK(hint_for(c, 9001) == 0);
   pwcons_free(c);
@@ -934,11 +936,12 @@
 
 static int seeds = 300;
 
-/* `suspends`: nodes are suspended beside all else, and disks are lost at the end. */
+/* Runs one simulation for each seed. With `suspends` nodes are suspended, and disks are lost at
+** the end. */
 static void run_models(int suspends) {
   const char *one = getenv("PW_SEED");
   uint64_t first = test_seed(1);
-  int n = one ? 1 : suspends ? seeds / 3 : seeds; /* they take twice as long */
+  int n = one ? 1 : suspends ? seeds / 3 : seeds; /* these take twice as long */
   uint64_t proposals = 0;
   for (int i = 0; i < n; i++) {
     const char *broken =
@@ -957,9 +960,9 @@
   run_models(0);
 }
 
-/* A control instance may be suspended for seconds at any moment, the leader as it tells that a change is
-** accepted, too: woken, it answers no read by a lease that has run out meanwhile. At the end as many
-** disks are lost as may be while all others lose power. */
+/* A control instance may be suspended for seconds at any moment, a leader even as it acknowledges a
+** change. When it resumes, it must answer no read under a lease that has expired. At the end, as many disks
+** are lost as may be while all other nodes lose power. */
 static void test_suspended(void) {
   run_models(1);
 }
@@ -979,8 +982,8 @@
          (long long)*most);
 }
 
-/* After all were down callers wait for a leader: those who asked too early for votes
-** ask again soon, and do not take the votes from each other. */
+/* Callers wait for a leader after all members were down, so failed pre-votes are retried soon and
+** candidates do not split the votes. */
 static void test_cold_start(void) {
   int64_t mean, most;
   time_starts(1, &mean, &most);
@@ -988,7 +991,7 @@
   CHECK(most < LEASE);
 }
 
-/* When all have started nobody can hold a lease, and none is waited for. */
+/* When all members have just started, no lease exists and the election does not wait for one. */
 static void test_all_start(void) {
   int64_t mean, most;
   time_starts(0, &mean, &most);
--- a/tests/test_holdoff.c
+++ b/tests/test_holdoff.c
@@ -1,5 +1,6 @@
-/* test_holdoff.c: targets that turn requests away, ask to be left alone, or say that they leave,
-** without a process. What happened stands in 54_hold_off and 55_says_leaving. */
+/* test_holdoff.c: unit tests of targets that ask for a hold-off or announce that they leave. They
+** must get no requests, which they would only reject. 54_hold_off and 55_says_leaving test the
+** same with processes. */
 #include "pwbuf.h"
 #include "pwfleet.h"
 #include "pwholdoff.h"
@@ -11,8 +12,8 @@
 
 enum { BEAT_MS = 100, KEEP_MS = 1000 };
 
-/* A shorter wish does not end a longer one; what is longer than a day is a day. */
-static void test_wishes(void) {
+/* A shorter hold-off does not end a longer one, and none lasts longer than a day. */
+static void test_durations(void) {
   pw_holdoff h = {0};
   CHECK(pwholdoff_left(&h, 5000) == 0);
   CHECK(pwholdoff_asked(&h, 3000, 1000));
@@ -20,7 +21,7 @@
   CHECK(pwholdoff_left(&h, 4000) == 0);
   CHECK(!pwholdoff_asked(&h, 500, 2000));
   CHECK(pwholdoff_left(&h, 2000) == 2000);
-  CHECK(pwholdoff_asked(&h, 2500, 2000)); /* it asks again */
+  CHECK(pwholdoff_asked(&h, 2500, 2000)); /* extends it */
   CHECK(pwholdoff_left(&h, 2000) == 2500);
   CHECK(pwholdoff_asked(&h, 1, 9000) && pwholdoff_left(&h, 9000) == 1);
   CHECK(pwholdoff_asked(&h, INT64_MAX, 9000));
@@ -49,7 +50,7 @@
   return f;
 }
 
-/* Where a request goes whose prompt's key is this; 0: it has none. */
+/* Picks a target for a request with this prompt key; 0: no prompt. */
 static pw_target *pick(pw_fleet *f, uint64_t key, int64_t now) {
   pw_fleet_ask ask = {.service = "s",
                       .how = PWPICK_BY_HOME,
@@ -64,9 +65,9 @@
   return got.target;
 }
 
-/* It is not picked, by home or by load, nor sent to once more; its places do not count; prompts come
-** home to it again afterwards. */
-static void test_left_alone(void) {
+/* During its hold-off a target is not picked, neither as home nor by load, and its slots do not
+** count. Afterwards it gets the prompts that have it as home again. */
+static void test_one_holds_off(void) {
   pw_fleet *f = fleet_of_three();
   pw_target *home = pick(f, 7, 1000);
   CHECK(pwfleet_sum(f, "s", PWFLEET_BOTH, 1000).slots == 12);
@@ -78,11 +79,11 @@
   CHECK(other && other != home && pick(f, 7, 1200) == other);
   for (uint64_t key = 0; key < 200; key++)
     CHECK(pick(f, key, 1300) != home);
-  CHECK(pwfleet_held_off(f, "s", 1300) == 0); /* others may be asked */
-  pwfleet_answered(home, 5, 1400);            /* one that ran there before */
+  CHECK(pwfleet_held_off(f, "s", 1300) == 0); /* others are usable */
+  pwfleet_answered(home, 5, 1400);            /* a request sent before */
   CHECK(!pwfleet_may_send(home, 1400));
   pw_beat b = beat(home->id, 80, home->seq + 1);
-  b.born = 0; /* another writer's, and one of its own */
+  b.born = 0; /* a heartbeat of an earlier incarnation */
   pwfleet_beat(f, &b, 0, 1500);
   b = beat(home->id, ntohs(home->addr.sin_port), home->seq + 1);
   CHECK(pwfleet_beat(f, &b, 0, 1500) == PWFLEET_RENEWED);
@@ -91,9 +92,9 @@
   pwfleet_free(f);
 }
 
-/* All ask for it: nothing is sent, not as a last resort either, and the first that may be asked again
-** is known. One that leaves is none of those. */
-static void test_all_left_alone(void) {
+/* While all targets are in a hold-off, none is picked, not even as a last resort, and the earliest
+** end of a hold-off is known. Targets that leave do not count for it. */
+static void test_all_hold_off(void) {
   pw_fleet *f = fleet_of_three();
   pwfleet_note_hold_off(pwfleet_find(f, "a"), 60000, 1000);
   pwfleet_note_hold_off(pwfleet_find(f, "b"), 1000, 1000);
@@ -109,9 +110,9 @@
   pwfleet_free(f);
 }
 
-/* The next start under its id has asked for nothing, and does not leave; what comes late of the start
-** before is held against that one alone. */
-static void test_next_start(void) {
+/* A new incarnation of a target starts without a hold-off and is not leaving. Late answers of the
+** earlier incarnation affect only that one. */
+static void test_next_incarnation(void) {
   pw_fleet *f = fleet_of_three();
   pw_target *before = pwfleet_find(f, "a");
   pwfleet_hold(before);
@@ -122,15 +123,15 @@
   CHECK(pwfleet_beat(f, &b, 0, 2000) == PWFLEET_RESTARTED);
   pw_target *t = pwfleet_find(f, "a");
   CHECK(t != before && pwfleet_may_send(t, 2000));
-  pwfleet_note_hold_off(before, 90000, 2000); /* an answer that came late */
+  pwfleet_note_hold_off(before, 90000, 2000); /* from a late answer */
   pwfleet_note_leaving(before);
   CHECK(pwfleet_may_send(t, 2000) && !pwfleet_may_send(before, 2000));
   pwfleet_drop(before);
   pwfleet_free(f);
 }
 
-/* It has said once that it leaves: neither heartbeats that say that it is ready nor silence take that
-** back, and telling it again is no news. */
+/* An announced leave is final for an incarnation: neither heartbeats without the leaving mark nor a
+** silence revoke it, and a second announcement is no change. */
 static void test_leaving(void) {
   pw_fleet *f = fleet_of_three();
   pw_target *t = pwfleet_find(f, "a");
@@ -150,10 +151,10 @@
 
 int main(void) {
   TESTS_BEGIN("holdoff");
-  TEST(test_wishes);
-  TEST(test_left_alone);
-  TEST(test_all_left_alone);
-  TEST(test_next_start);
+  TEST(test_durations);
+  TEST(test_one_holds_off);
+  TEST(test_all_hold_off);
+  TEST(test_next_incarnation);
   TEST(test_leaving);
   TESTS_END();
 }
--- a/tests/test_versions.c
+++ b/tests/test_versions.c
@@ -1,6 +1,6 @@
-/* test_versions.c: which targets a request goes to while its service is rolled out to another
-** version: a few of the new ones for a small share, none of them once it went back, none of the
-** old ones once it is complete. */
+/* test_versions.c: which targets are picked while a service is rolled out to another version: a
+** small share of requests goes to few new targets, none to new targets after the rollout was
+** reverted, and none to old targets after it completed. */
 #include "pwfleet.h"
 #include "pwtest.h"
 
@@ -19,7 +19,7 @@
   pwfleet_beat(f, &b, 0, now);
 }
 
-static pw_fleet *both(void) {
+static pw_fleet *fleet_of_both(void) {
   pw_fleet *f = pwfleet_new("az-1", BEAT_MS, BEAT_MS);
   for (int i = 0; i < EACH; i++) {
     join(f, "v1", i, 0);
@@ -28,16 +28,16 @@
   return f;
 }
 
-static void roll(pw_fleet *f, pw_canary_state state, int share) {
+static void set_rollout(pw_fleet *f, pw_canary_state state, int share) {
   pw_fleet_rollout r = {.service = "s", .version = "v2"};
   r.canary = (pw_canary){state, share};
   pwfleet_rollouts(f, &r, 1);
 }
 
-/* How many targets of a version are picked when many requests wait. */
+/* The number of targets of a version that are picked when many requests wait. */
 static int picked(pw_fleet *f, pw_fleet_side side, const char *version) {
   pw_target *got[4 * EACH * 4];
-  int n = 0, of = 0;
+  int n = 0, distinct = 0;
   for (; n < 4 * EACH * 4; n++) {
     pw_fleet_ask ask = {.service = "s",
                         .side = side,
@@ -51,23 +51,23 @@
     p.target->inflight++;
   }
   for (pw_target *t = pwfleet_first(f); t; t = t->hh.next)
-    of += t->inflight > 0 && !strcmp(t->version, version);
+    distinct += t->inflight > 0 && !strcmp(t->version, version);
   for (int i = 0; i < n; i++) {
     got[i]->inflight--;
     pwfleet_drop(got[i]);
   }
-  return of;
+  return distinct;
 }
 
 static void test_sides(void) {
-  pw_fleet *f = both();
+  pw_fleet *f = fleet_of_both();
   CHECK(pwfleet_side(f, "s", 0) == PWFLEET_BOTH);
   CHECK(picked(f, PWFLEET_BOTH, "v2") == EACH);
-  roll(f, PWCANARY_RUNNING, 0);
+  set_rollout(f, PWCANARY_RUNNING, 0);
   CHECK(pwfleet_side(f, "s", 0) == PWFLEET_FROM);
   CHECK(picked(f, PWFLEET_FROM, "v2") == 0);
   CHECK(picked(f, PWFLEET_FROM, "v1") == EACH);
-  roll(f, PWCANARY_RUNNING, 90);
+  set_rollout(f, PWCANARY_RUNNING, 90);
   CHECK(pwfleet_side(f, "s", 0.08) == PWFLEET_TO);
   CHECK(pwfleet_side(f, "s", 0.1) == PWFLEET_FROM);
   CHECK(pwfleet_side(f, "other", 0.08) == PWFLEET_BOTH);
@@ -76,16 +76,16 @@
   CHECK(picked(f, PWFLEET_TO, "v1") == 0);
   CHECK(pwfleet_sum(f, "s", PWFLEET_TO, 10).slots == 4 * some);
   CHECK(pwfleet_sum(f, "s", PWFLEET_FROM, 10).slots == 4 * EACH);
-  join(f, "v2", EACH, 10); /* one more starts meanwhile */
+  join(f, "v2", EACH, 10); /* joins during the rollout */
   CHECK(picked(f, PWFLEET_FROM, "v2") == 0);
-  roll(f, PWCANARY_RUNNING, PWCANARY_ALL);
+  set_rollout(f, PWCANARY_RUNNING, PWCANARY_ALL);
   CHECK(pwfleet_side(f, "s", 0.99) == PWFLEET_TO);
   CHECK(picked(f, PWFLEET_TO, "v2") == EACH + 1);
   pwfleet_free(f);
 }
 
-/* Of more targets than were weighed once (1,024) the last that joined is the only one that may
-** be sent to: requests were refused for want of a target, without a line. */
+/* Among 3,000 targets only the last one that joined is usable. It must be found: when a pick
+** considered only the first 1,024 targets, requests were refused without a log line. */
 static void test_last_of_many(void) {
   pw_fleet *f = pwfleet_new("az-1", BEAT_MS, BEAT_MS);
   for (int i = 0; i < 3000; i++) {
@@ -105,17 +105,17 @@
 static void test_few_targets(void) {
   pw_fleet *f = pwfleet_new("az-1", BEAT_MS, BEAT_MS);
   join(f, "v1", 0, 0);
-  roll(f, PWCANARY_RUNNING, 90);
+  set_rollout(f, PWCANARY_RUNNING, 90);
   CHECK(picked(f, PWFLEET_TO, "v2") == 0);
   join(f, "v2", 0, 0);
-  CHECK(picked(f, PWFLEET_TO, "v2") == 1); /* one takes part at least */
+  CHECK(picked(f, PWFLEET_TO, "v2") == 1); /* the canary is never empty */
   pwfleet_free(f);
 }
 
-static void test_back(void) {
-  pw_fleet *f = both();
-  roll(f, PWCANARY_RUNNING, PWCANARY_ALL);
-  roll(f, PWCANARY_REVERTED, 0);
+static void test_reverted(void) {
+  pw_fleet *f = fleet_of_both();
+  set_rollout(f, PWCANARY_RUNNING, PWCANARY_ALL);
+  set_rollout(f, PWCANARY_REVERTED, 0);
   CHECK(pwfleet_side(f, "s", 0) == PWFLEET_FROM);
   CHECK(picked(f, PWFLEET_FROM, "v2") == 0);
   CHECK(picked(f, PWFLEET_TO, "v2") == 0);
@@ -123,14 +123,14 @@
 }
 
 static void test_complete(void) {
-  pw_fleet *f = both();
-  roll(f, PWCANARY_RUNNING, PWCANARY_ALL);
-  roll(f, PWCANARY_COMPLETE, PWCANARY_ALL);
+  pw_fleet *f = fleet_of_both();
+  set_rollout(f, PWCANARY_RUNNING, PWCANARY_ALL);
+  set_rollout(f, PWCANARY_COMPLETE, PWCANARY_ALL);
   CHECK(pwfleet_side(f, "s", 0.5) == PWFLEET_BOTH);
   CHECK(picked(f, PWFLEET_BOTH, "v1") == 0);
   CHECK(picked(f, PWFLEET_BOTH, "v2") == EACH);
   CHECK(!pwfleet_may_send(pwfleet_find(f, "v1-0"), 10));
-  join(f, "v3", 0, 10); /* what comes later is no old version */
+  join(f, "v3", 0, 10); /* a version that joins later is not outdated */
   CHECK(picked(f, PWFLEET_BOTH, "v3") == 1);
   pwfleet_free(f);
 }
@@ -140,7 +140,7 @@
   TEST(test_sides);
   TEST(test_last_of_many);
   TEST(test_few_targets);
-  TEST(test_back);
+  TEST(test_reverted);
   TEST(test_complete);
   TESTS_END();
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,5 +1,5 @@
-/* test_wire.c: messages between processes, and how soon a link that was silently
-** cut is given up. */
+/* test_wire.c: messages between processes, and the timeout of connections that
+** were cut without a reset. */
 #include "pwlimits.h"
 #include "pwports.h"
 #include "pwtest.h"
@@ -19,7 +19,7 @@
 static pw_counters *counters;
 static pw_hlc hlc;
 
-/* Waits for a message; the condition is that it comes. */
+/* Receives a message within TRIES * TRY_MS; NULL: none came. */
 static Pw__Envelope *receive(pw_sock *s, pw_peer *from) {
   for (int i = 0; i < TRIES; i++) {
     Pw__Envelope *e = pwwire_recv(s, from);
@@ -30,10 +30,10 @@
   return NULL;
 }
 
-/* TCP connections of this process, and those with the time-out that gives up a
-** silent link. */
-static void count_links(int *links, int *bounded) {
-  *links = *bounded = 0;
+/* Counts the TCP connections of this process, and those whose timeout is
+** PW_WIRE_LOST_MS. */
+static void count_connections(int *connections, int *bounded) {
+  *connections = *bounded = 0;
   for (int fd = 0; fd < FD_MAX; fd++) {
     struct sockaddr_in peer;
     socklen_t len = sizeof peer;
@@ -43,7 +43,7 @@
     unsigned ms = 0;
     len = sizeof ms;
     getsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, &len);
-    (*links)++;
+    (*connections)++;
     *bounded += ms == PW_WIRE_LOST_MS;
   }
 }
@@ -66,9 +66,9 @@
   CHECK(in != NULL && in->body_case == PW__ENVELOPE__BODY_PING);
   if (in)
     pw__envelope__free_unpacked(in, NULL);
-  int links, bounded;
-  count_links(&links, &bounded);
-  CHECK(links == 2 && bounded == 2);
+  int connections, bounded;
+  count_connections(&connections, &bounded);
+  CHECK(connections == 2 && bounded == 2);
   pwwire_close(dialler);
   pwwire_close(listener);
   pwwire_free(w);
@@ -76,8 +76,9 @@
   pwcount_free(counters);
 }
 
-/* A line that tells who has a document is no copy of it. 37_long_configuration saw 18 copies to 12 gateways,
-** where 16 are allowed: 12, and 6 such lines, of those who were served by other gateways. */
+/* A referral to a process that has a document does not count as a copy of it.
+** 37_long_configuration allows 16 copies for 12 gateways and counted 18, 6 of
+** which were referrals. */
 static void test_documents_are_counted(void) {
   pw_settings set = {.name = "b", .keys_file = "", .trust_file = ""};
   pw_buf err = {0};
