--- a/packages/consensus/pwcons.h
+++ b/packages/consensus/pwcons.h
@@ -20,11 +20,11 @@
 #define PWCONS_ADDR 64
 
 typedef struct pw_cons_member {
-  uint64_t id;            /* drawn anew for each empty disk */
-  uint32_t slot;          /* identifies the instance, whatever disk it has */
-  int voter;              /* 0: a learner */
-  char addr[PWCONS_ADDR]; /* for messages of the protocol */
-  char http[PWCONS_ADDR]; /* for callers */
+  uint64_t id;   /* random, new for each empty disk */
+  uint32_t slot; /* identifies the instance across replacements of its disk */
+  int voter;     /* 0: a learner */
+  char addr[PWCONS_ADDR]; /* address for messages between processes */
+  char http[PWCONS_ADDR]; /* address of its HTTP interface */
 } pw_cons_member;
 
 typedef struct pw_cons_config {
@@ -40,9 +40,9 @@
 } pw_cons_role;
 
 typedef enum pw_cons_kind {
-  PWCONS_NOOP,
+  PWCONS_NOOP, /* first entry of each leader */
   PWCONS_COMMAND,
-  PWCONS_CONFIG
+  PWCONS_CONFIG /* a pw_cons_config */
 } pw_cons_kind;
 
 typedef enum pw_cons_type {
@@ -53,7 +53,7 @@
   PWCONS_APPEND,
   PWCONS_APPEND_REPLY,
   PWCONS_SNAPSHOT,
-  PWCONS_TIMEOUT_NOW
+  PWCONS_TIMEOUT_NOW /* asks a voter to campaign at once */
 } pw_cons_type;
 
 /* Timing of a member, and the state on its disk that it starts from. */
--- a/packages/consensus/pwmember.c
+++ b/packages/consensus/pwmember.c
@@ -5,8 +5,8 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_KEEP_SILENT = 18, /* a silent voter is never replaced */
-  MUT_CROWD = 19        /* learners are promoted beyond the group's size */
+  MUT_KEEP_SILENT = 18, /* never replaces a silent voter */
+  MUT_CROWD = 19        /* promotes learners beyond the group's size */
 };
 
 int pwmember_has(const pw_cons_config *c, uint64_t id) {
@@ -16,6 +16,7 @@
   return 0;
 }
 
+/* The index of the voter or learner of a slot; -1: none. */
 static int find_slot(const pw_cons_config *c, uint32_t slot, int voter) {
   for (int i = 0; i < c->n; i++)
     if (c->m[i].slot == slot && c->m[i].voter == voter)
@@ -67,6 +68,7 @@
          PW_MUTATION != MUT_KEEP_SILENT;
 }
 
+/* Promotes a learner that has caught up, or removes the voter of its slot before that. */
 static const char *promote(const pw_cons *cons, int size,
                            pw_cons_config *next) {
   for (int i = 0; i < next->n; i++) {
@@ -94,6 +96,7 @@
   return "remove";
 }
 
+/* Whether the voter of a slot has answered within two leases. */
 static int slot_is_alive(const pw_cons *cons, const pw_cons_config *c,
                          uint32_t slot, int64_t lease) {
   int voter = find_slot(c, slot, 1);
@@ -120,11 +123,11 @@
   *next = *pwcons_config(cons);
   if (slot_is_alive(cons, next, joining->slot, lease))
     return NULL;
-  int lost = find_slot(next, joining->slot, 0);
-  if (lost < 0 && next->n == PWCONS_MEMBERS)
-    lost = find_lost_learner(cons, next);
-  if (lost >= 0) /* replaces an earlier learner that is lost */
-    next->m[lost] = *joining;
+  int replaced = find_slot(next, joining->slot, 0);
+  if (replaced < 0 && next->n == PWCONS_MEMBERS)
+    replaced = find_lost_learner(cons, next);
+  if (replaced >= 0) /* replaces an earlier learner */
+    next->m[replaced] = *joining;
   else if (next->n < PWCONS_MEMBERS)
     next->m[next->n++] = *joining;
   else
--- a/packages/membership/pwfleet.h
+++ b/packages/membership/pwfleet.h
@@ -17,11 +17,11 @@
 
 typedef struct pw_upconn pw_upconn;
 
-/* Which targets of a service are eligible while the service is rolled out to another version. */
+/* The side of a rollout that a target belongs to, or that a request may go to. */
 typedef enum pw_fleet_side {
-  PWFLEET_BOTH, /* all targets: no rollout is running */
+  PWFLEET_BOTH, /* all targets: there is no rollout, or it is complete */
   PWFLEET_FROM, /* the targets of other versions than the new one */
-  PWFLEET_TO    /* the targets of the new version that are in the canary */
+  PWFLEET_TO /* the targets of the new version; requests go to those in the canary */
 } pw_fleet_side;
 
 /* One incarnation of a target. It is reference-counted (pwfleet_hold, pwfleet_drop). */
@@ -34,11 +34,11 @@
   char address[PW_NAME_MAX];
   struct sockaddr_in addr;
   uint64_t hash;        /* of the id alone, so that prompts keep their target
-                       ** across its restarts */
+                        ** across its restarts */
   uint64_t start_hash;  /* of id and start time: evidence against one
-                       ** incarnation does not count against the next */
+                        ** incarnation does not count against the next */
   uint32_t short_hash;  /* identifies the incarnation in messages between
-                       ** gateways */
+                        ** gateways */
   uint32_t reject_hash; /* key under which gateways report its rejections */
   uint32_t miss_hash;   /* key under which gateways report failed connects */
   char version[PW_NAME_MAX]; /* software version */
@@ -47,7 +47,7 @@
   int is_outdated;           /* a completed rollout replaced its version */
   int is_gone;          /* it has ended, or stopped answering at its address */
   int is_displaced;     /* it counts as gone only because another target
-                    ** claimed its address */
+                        ** claimed its address */
   int64_t reclaimed_at; /* first heartbeat from the address after it was
                         ** displaced, ms; 0: none */
   int is_silent;        /* it has missed its heartbeats */
@@ -82,7 +82,7 @@
                        ** stalls of this process */
   double work_ms;      /* smoothed duration of a request; 0: not measured */
   pw_fleet_side side;
-  int is_in_canary; /* of the new version, and gets requests already */
+  int is_in_canary; /* PWFLEET_TO only: it gets requests already */
   int refs;
   struct pw_target
       *next_retired; /* next earlier incarnation with open connections */
@@ -218,9 +218,9 @@
   const char *service;
   pw_fleet_side side;
   pw_pick_how how;
-  int is_sticky;      /* `key` is set */
-  uint64_t key;       /* hash of the prompt prefix that requests share */
-  int stays;          /* no fallback to targets that cannot hold the prompt */
+  int is_sticky; /* `key` is set */
+  uint64_t key;  /* hash of the prompt prefix that requests share */
+  int stays; /* only the prompt's home targets, without a fallback to others */
   uint32_t last;      /* short hash of the prompt's latest target; 0: unknown */
   uint32_t beginning; /* short hash of the latest target of a prompt with the
                       ** same beginning; 0: unknown */
@@ -229,10 +229,9 @@
   pw_pick_bound bound;
   pw_cold_service cold; /* what the service's cold targets accept */
   double part; /* this gateway's share of that, above 0 and at most 1 */
-  int conns;   /* connection limit for each target, busy ones included; 0: none
-               */
+  int conns;   /* most connections to one target, busy or idle; 0: no limit */
   int spares_retries;      /* few retries are left: targets that reject requests
-                      ** come last */
+                           ** come last */
   pw_target *const *tried; /* targets that are excluded */
   int ntried;
 } pw_fleet_ask;
@@ -266,8 +265,8 @@
 ** free slots. */
 void pwfleet_rejected(pw_target *t, int had_room, int64_t now);
 
-/* Whether a target accepts requests at all, even one that it ran before: it is not gone, not
-** leaving, not evacuated, not outdated and in no hold-off. */
+/* Whether a target accepts requests at all, also one that was sent to it before: it is not gone,
+** leaving, evacuated, outdated or in a hold-off. */
 int pwfleet_may_send(const pw_target *t, int64_t now);
 
 /* Time until the first hold-off ends, ms, if all targets of a service that could be used are
--- a/packages/membership/pwfleetpick.c
+++ b/packages/membership/pwfleetpick.c
@@ -48,6 +48,7 @@
   return !t->is_silent || now - t->answered_at <= ALIVE_BEATS * f->beat_ms;
 }
 
+/* The error share of a target, decayed until now. */
 static double errors_of(const pw_target *t, int64_t now) {
   return t->errors * exp2(-(double)(now - t->errors_at) / ERROR_HALF_MS);
 }
@@ -74,38 +75,40 @@
 
 static service_stats stats_of(const pw_fleet *f, const char *service,
                               pw_fleet_side side, int64_t now) {
-  service_stats c = {
+  service_stats s = {
       .service = service, .side = side, .now = now, .oldest = now};
   int n = 0, silent = 0, measured = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (t->is_gone || !pwflt_is_of(t, service, side))
       continue;
-    if (t->joined_at < c.oldest)
-      c.oldest = t->joined_at;
-    c.errors += errors_of(t, now);
-    c.others += t->others;
-    c.work_ms += t->work_ms;
+    if (t->joined_at < s.oldest)
+      s.oldest = t->joined_at;
+    s.errors += errors_of(t, now);
+    s.others += t->others;
+    s.work_ms += t->work_ms;
     measured += t->work_ms > 0;
     silent += t->is_silent;
     n++;
   }
-  c.errors = n ? c.errors / n : 0;
-  c.others = n ? c.others / n : 0;
-  c.work_ms = measured ? c.work_ms / measured : WORK_FIRST_MS;
-  c.most_silent = 2 * silent > n;
-  return c;
+  s.errors = n ? s.errors / n : 0;
+  s.others = n ? s.others / n : 0;
+  s.work_ms = measured ? s.work_ms / measured : WORK_FIRST_MS;
+  s.most_silent = 2 * silent > n;
+  return s;
 }
 
 /* Duration of a request at a target. An unmeasured target gets the mean of its service: with a
 ** fixed initial value it got no request while the others were less loaded. */
-static double work_of(const pw_target *t, const service_stats *c) {
-  return t->work_ms > 0 ? t->work_ms : c->work_ms;
+static double work_of(const pw_target *t, const service_stats *s) {
+  return t->work_ms > 0 ? t->work_ms : s->work_ms;
 }
 
+/* Whether a target can answer: it is heard, not gone and not ejected. If most targets of the
+** service are silent, silence does not count. */
 static int is_alive(const pw_fleet *f, const pw_target *t,
-                    const service_stats *c) {
-  return !t->is_gone && (c->most_silent || is_heard(f, t, c->now)) &&
-         t->set_aside <= c->now;
+                    const service_stats *s) {
+  return !t->is_gone && (s->most_silent || is_heard(f, t, s->now)) &&
+         t->set_aside <= s->now;
 }
 
 /* Whether a target stays in service: it is not leaving, evacuated, outdated or gone. */
@@ -118,10 +121,11 @@
   return stays_in_service(t) && pwholdoff_left(&t->hold_off, now) == 0;
 }
 
+/* Whether a target is alive, accepts requests and has no excess of errors. */
 static int is_usable(const pw_fleet *f, const pw_target *t,
-                     const service_stats *c) {
-  return is_alive(f, t, c) && pwfleet_may_send(t, c->now) &&
-         errors_of(t, c->now) <= c->errors + ERROR_MARGIN;
+                     const service_stats *s) {
+  return is_alive(f, t, s) && pwfleet_may_send(t, s->now) &&
+         errors_of(t, s->now) <= s->errors + ERROR_MARGIN;
 }
 
 static int is_among(const pw_target *t, pw_target *const *list, int n) {
@@ -133,9 +137,9 @@
 
 int pwfleet_has_other(pw_fleet *f, const char *service, pw_fleet_side side,
                       pw_target *const *tried, int ntried, int64_t now) {
-  service_stats c = stats_of(f, service, side, now);
+  service_stats s = stats_of(f, service, side, now);
   for (const pw_target *t = f->by_id; t; t = t->hh.next)
-    if (pwflt_is_of(t, service, side) && is_usable(f, t, &c) &&
+    if (pwflt_is_of(t, service, side) && is_usable(f, t, &s) &&
         !is_among(t, tried, ntried))
       return 1;
   return 0;
@@ -143,11 +147,11 @@
 
 static int count(const pw_fleet *f, const char *service, int64_t now,
                  int (*fits)(const pw_fleet *f, const pw_target *t,
-                             const service_stats *c)) {
-  service_stats c = stats_of(f, service, PWFLEET_BOTH, now);
+                             const service_stats *s)) {
+  service_stats s = stats_of(f, service, PWFLEET_BOTH, now);
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next)
-    n += !strcmp(t->service, service) && fits(f, t, &c);
+    n += !strcmp(t->service, service) && fits(f, t, &s);
   return n;
 }
 
@@ -175,17 +179,17 @@
 
 pw_fleet_sum pwfleet_sum(pw_fleet *f, const char *service, pw_fleet_side side,
                          int64_t now) {
-  service_stats c = stats_of(f, service, side, now);
+  service_stats s = stats_of(f, service, side, now);
   pw_fleet_sum out = {0};
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (!pwflt_is_of(t, service, side) || !pwfleet_may_send(t, now) ||
-        !is_alive(f, t, &c))
+        !is_alive(f, t, &s))
       continue;
     out.slots += t->slots;
     out.inflight += t->inflight;
     out.others += t->others;
-    out.work_ms += work_of(t, &c);
+    out.work_ms += work_of(t, &s);
     n++;
   }
   out.work_ms = n ? out.work_ms / n : 0;
@@ -201,9 +205,9 @@
 /* Whether a target joined so recently, and so long after the oldest, that others may still have
 ** its prompts cached. */
 static int is_new(const pw_fleet *f, const pw_target *t,
-                  const service_stats *c) {
-  return c->now - t->joined_at < NEW_TIMES * f->keep_ms &&
-         t->joined_at - c->oldest > GENERATION_BEATS * f->beat_ms;
+                  const service_stats *s) {
+  return s->now - t->joined_at < NEW_TIMES * f->keep_ms &&
+         t->joined_at - s->oldest > GENERATION_BEATS * f->beat_ms;
 }
 
 /* Index of the live target with a short hash; -1: none. */
@@ -220,11 +224,11 @@
 ** the report is out of date, and all gateways would send to the target that was the least
 ** loaded in it. */
 static double load_of(const pw_fleet *f, const pw_target *t,
-                      const service_stats *c, const pw_fleet_ask *ask) {
+                      const service_stats *s, const pw_fleet_ask *ask) {
   if (ask->is_sticky)
     return t->inflight + t->others;
-  double freshness = exp(-(double)f->others_age_ms / work_of(t, c));
-  return t->inflight + round(c->others + freshness * (t->others - c->others));
+  double freshness = exp(-(double)f->others_age_ms / work_of(t, s));
+  return t->inflight + round(s->others + freshness * (t->others - s->others));
 }
 
 /* Whether a target has an idle connection or may get another one. */
@@ -259,34 +263,34 @@
 
 /* Fills one row for each target of the service. Returns their number. */
 static int fill_rows(pw_fleet *f, const pw_fleet_ask *ask,
-                     const service_stats *c, pw_pick *row,
+                     const service_stats *s, pw_pick *row,
                      pw_target **targets) {
   int n = 0, usable = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     if (t->is_gone || !pwflt_is_of(t, ask->service, ask->side))
       continue;
     row[n] = (pw_pick){.id = t->hash,
-                       .load = load_of(f, t, c, ask),
+                       .load = load_of(f, t, s, ask),
                        .own = t->inflight,
                        .slots = t->slots,
-                       .work_ms = work_of(t, c),
-                       .is_usable = is_usable(f, t, c) && !was_tried(ask, t) &&
+                       .work_ms = work_of(t, s),
+                       .is_usable = is_usable(f, t, s) && !was_tried(ask, t) &&
                                     has_connection(t, ask) &&
-                                    passes_cold_limit(t, ask, c->now),
-                       .counts = is_usable(f, t, c),
+                                    passes_cold_limit(t, ask, s->now),
+                       .counts = is_usable(f, t, s),
                        .is_near =
                            !strcmp(t->availability_zone, f->availability_zone),
-                       .is_alive = is_alive(f, t, c),
-                       .is_new = is_new(f, t, c)};
+                       .is_alive = is_alive(f, t, s),
+                       .is_new = is_new(f, t, s)};
     usable += row[n].is_usable;
     targets[n++] = t;
   }
   /* If no target is usable, any target that accepts requests is the last resort. */
   for (int i = 0; usable == 0 && i < n; i++)
-    row[i].is_usable = pwfleet_may_send(targets[i], c->now) &&
+    row[i].is_usable = pwfleet_may_send(targets[i], s->now) &&
                        !was_tried(ask, targets[i]) &&
                        has_connection(targets[i], ask) &&
-                       passes_cold_limit(targets[i], ask, c->now);
+                       passes_cold_limit(targets[i], ask, s->now);
   return n;
 }
 
@@ -338,8 +342,8 @@
   reserve_rows(f);
   pw_pick *row = f->row;
   pw_target **targets = f->targets;
-  service_stats c = stats_of(f, ask->service, ask->side, now);
-  int n = fill_rows(f, ask, &c, row, targets);
+  service_stats s = stats_of(f, ask->service, ask->side, now);
+  int n = fill_rows(f, ask, &s, row, targets);
   int best = pick_preferred(f, ask, row, targets, n, now);
   if (best < 0)
     return out;
@@ -402,6 +406,7 @@
   return now - t->seen_at > UNRESPONSIVE_MS;
 }
 
+/* Ejects a target for EJECT_MS, doubled `doublings` times. */
 static void eject(pw_target *t, int doublings, int64_t now) {
   int64_t ms = EJECT_MS << (doublings < 4 ? doublings : 4);
   t->set_aside = now + (ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
--- a/packages/membership/pwfleetroll.c
+++ b/packages/membership/pwfleetroll.c
@@ -14,12 +14,12 @@
   return NULL;
 }
 
-static int is_running(const pw_fleet_rollout *r) {
+static int is_active(const pw_fleet_rollout *r) {
   return r && r->canary.state != PWCANARY_COMPLETE;
 }
 
 static pw_fleet_side side_of(const pw_target *t, const pw_fleet_rollout *r) {
-  if (!is_running(r))
+  if (!is_active(r))
     return PWFLEET_BOTH;
   return strcmp(t->version, r->version) ? PWFLEET_FROM : PWFLEET_TO;
 }
@@ -46,7 +46,7 @@
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     if (!strcmp(t->service, service))
       t->side = side_of(t, r);
-  if (is_running(r))
+  if (is_active(r))
     choose_canary(f, r);
 }
 
@@ -82,7 +82,7 @@
 pw_fleet_side pwfleet_side(const pw_fleet *f, const char *service,
                            double draw) {
   const pw_fleet_rollout *r = find(f->rollouts, f->nrollouts, service);
-  if (!is_running(r))
+  if (!is_active(r))
     return PWFLEET_BOTH;
   return draw * PWCANARY_ALL < r->canary.share ? PWFLEET_TO : PWFLEET_FROM;
 }
