--- a/packages/consensus/pwcons.c
+++ b/packages/consensus/pwcons.c
@@ -58,7 +58,7 @@
     else
       peers[n] = (pw_progress){.id = id,
                                .next = pwconslog_last(&c->log) + 1,
-                               .heard = c->now,
+                               .replied_at = c->now,
                                .echoed = INT64_MIN / 2,
                                .snapshot_sent_at = INT64_MIN / 2};
     n++;
@@ -180,7 +180,7 @@
   for (int i = 0; i < c->npeers; i++) {
     const pw_progress *p = &c->peer[i];
     if (pwci_is_voter(c, p->id))
-      n += p->id == c->id || c->now - p->heard < c->lease;
+      n += p->id == c->id || c->now - p->replied_at < c->lease;
   }
   if (n < pwci_quorum(c))
     pwci_become_follower(c, c->term, 0);
@@ -353,7 +353,7 @@
     if (!best || p->match > best->match)
       best = p;
   }
-  if (!best || best->match < c->commit || c->now - best->heard > c->lease)
+  if (!best || best->match < c->commit || c->now - best->replied_at > c->lease)
     return 0;
   c->transferring = 1;
   c->since = c->now;
@@ -387,7 +387,7 @@
     return 0;
   for (int i = 0; i < c->npeers; i++)
     if (c->peer[i].id == id)
-      return c->now - c->peer[i].heard;
+      return c->now - c->peer[i].replied_at;
   return INT64_MAX;
 }
 
--- a/packages/consensus/pwconsint.h
+++ b/packages/consensus/pwconsint.h
@@ -46,7 +46,7 @@
   uint64_t id;
   uint64_t match;           /* highest index known to be on its disk */
   uint64_t next;            /* next index to send */
-  int64_t heard;            /* time of its last reply, ms */
+  int64_t replied_at;       /* time of its last reply, ms */
   int64_t echoed;           /* newest send time that it has echoed, ms */
   int64_t snapshot_sent_at; /* ms */
   int granted;              /* it granted the vote or pre-vote */
--- a/packages/consensus/pwelect.c
+++ b/packages/consensus/pwelect.c
@@ -33,7 +33,7 @@
   for (int i = 0; i < c->npeers; i++) {
     c->peer[i].match = 0;
     c->peer[i].next = pwconslog_last(&c->log) + 1;
-    c->peer[i].heard = c->now;
+    c->peer[i].replied_at = c->now;
     c->peer[i].echoed = INT64_MIN / 2;
     c->peer[i].snapshot_sent_at = INT64_MIN / 2;
   }
--- a/packages/consensus/pwrepl.c
+++ b/packages/consensus/pwrepl.c
@@ -214,7 +214,7 @@
   pw_progress *p = pwci_peer_of(c, m->from);
   if (c->role != PWCONS_LEADER || m->term != c->term || !p)
     return;
-  p->heard = c->now;
+  p->replied_at = c->now;
   if ((int64_t)m->round > p->echoed)
     p->echoed = (int64_t)m->round;
   if (m->reject) {
--- a/packages/membership/pwfleet.c
+++ b/packages/membership/pwfleet.c
@@ -221,7 +221,7 @@
 
 /* Whether a displaced target is still alive, because a late heartbeat of an earlier target at
 ** its address displaced it. A live target keeps sending heartbeats, while those of a crashed
-** one that are still under way arrive all at once; so heartbeats must span half an interval. */
+** one that are still in flight arrive all at once; so heartbeats must span half an interval. */
 static int is_still_alive(const pw_fleet *f, pw_target *t, uint64_t seq,
                           int64_t heard_at) {
   if (!t->is_displaced || seq <= t->seq)
--- a/packages/membership/pwfleet.h
+++ b/packages/membership/pwfleet.h
@@ -76,7 +76,7 @@
   int failures;        /* consecutive requests without a valid answer */
   double errors;       /* smoothed share of error answers at errors_at */
   int64_t errors_at;   /* ms; the share decays from then on */
-  int64_t set_aside;   /* ejected until then, ms */
+  int64_t set_aside;   /* end of its ejection after failures, ms */
   int64_t answered_at; /* time of its newest answer, ms */
   int64_t seen_at;     /* time of the newest byte from it, ms, moved forward by
                        ** stalls of this process */
--- a/packages/membership/pwfleetpick.c
+++ b/packages/membership/pwfleetpick.c
@@ -44,7 +44,7 @@
 /* --- candidates --- */
 
 /* Whether heartbeats or a recent answer show that a target is alive. */
-static int is_heard(const pw_fleet *f, const pw_target *t, int64_t now) {
+static int is_responsive(const pw_fleet *f, const pw_target *t, int64_t now) {
   return !t->is_silent || now - t->answered_at <= ALIVE_BEATS * f->beat_ms;
 }
 
@@ -103,11 +103,11 @@
   return t->work_ms > 0 ? t->work_ms : s->work_ms;
 }
 
-/* Whether a target can answer: it is heard, not gone and not ejected. If most targets of the
+/* Whether a target can answer: it is responsive, not gone and not ejected. If most targets of the
 ** service are silent, silence does not count. */
 static int is_alive(const pw_fleet *f, const pw_target *t,
                     const service_stats *s) {
-  return !t->is_gone && (s->most_silent || is_heard(f, t, s->now)) &&
+  return !t->is_gone && (s->most_silent || is_responsive(f, t, s->now)) &&
          t->set_aside <= s->now;
 }
 
--- a/tests/test_consensus.c
+++ b/tests/test_consensus.c
@@ -73,7 +73,7 @@
   uint32_t next_slot; /* slot of the next replacement */
   node *flapping;     /* its link goes up and down until cut_at; or NULL */
   int64_t cut_at;
-  int calm;         /* no more faults are injected */
+  int faults_off;   /* no faults are injected */
   pw_random pauses; /* separate from rnd, so that other random draws of a seed
                     ** do not depend on suspensions */
   int suspends;     /* suspends nodes, and loses disks at the end */
@@ -173,7 +173,7 @@
   const node *to = find_node(m, msg->to);
   if (!to || from->cut || to->cut || m->nf + 2 >= FLIGHT_MAX)
     return;
-  int bad = !m->calm;
+  int bad = !m->faults_off;
   if (bad && pwrand_below(&m->rnd, 100) < 5)
     return;
   int copies = bad && pwrand_below(&m->rnd, 100) < 5 ? 2 : 1;
@@ -253,7 +253,7 @@
 }
 
 static void wake(const model *m, node *x) {
-  if (!x->wakes_at || (m->now < x->wakes_at && !m->calm))
+  if (!x->wakes_at || (m->now < x->wakes_at && !m->faults_off))
     return;
   x->wakes_at = 0;
   x->frozen = 0;
@@ -263,7 +263,7 @@
 
 /* Suspends the leader or another node at a random step. */
 static void suspend_some(model *m) {
-  if (m->calm || pwrand_below(&m->pauses, SUSPEND_STEPS))
+  if (m->faults_off || pwrand_below(&m->pauses, SUSPEND_STEPS))
     return;
   node *x = &m->n[pwrand_below(&m->pauses, (uint64_t)m->count)];
   if (pwrand_below(&m->pauses, 2) && leader(m))
@@ -273,7 +273,7 @@
 
 /* Suspends a leader just as it acknowledges a change. */
 static void suspend_at_ack(model *m, node *x) {
-  if (!m->calm && pwrand_below(&m->pauses, SUSPEND_ACKS) == 0)
+  if (!m->faults_off && pwrand_below(&m->pauses, SUSPEND_ACKS) == 0)
     suspend(m, x);
 }
 
@@ -356,7 +356,7 @@
   while (pwcons_ready(x->cons, &r)) {
     for (size_t i = 0; i < r.nearly; i++)
       send_message(m, x, r.early[i]);
-    if (!m->calm && pwrand_below(&m->rnd, 2000) == 0) {
+    if (!m->faults_off && pwrand_below(&m->rnd, 2000) == 0) {
       crash(x); /* before the sync, which loses unsynced writes */
       return;
     }
@@ -599,11 +599,11 @@
 
 static void step(model *m) {
   m->now += 1 + (int64_t)pwrand_below(&m->rnd, 15);
-  if (!m->calm && pwrand_below(&m->rnd, 60) == 0)
+  if (!m->faults_off && pwrand_below(&m->rnd, 60) == 0)
     inject_fault(m);
   if (m->suspends)
     suspend_some(m);
-  if (m->flapping && !m->calm)
+  if (m->flapping && !m->faults_off)
     m->flapping->cut = m->now >= m->cut_at || pwrand_below(&m->rnd, 4) > 0;
   if (m->now >= m->cut_at)
     m->flapping = NULL;
@@ -642,7 +642,7 @@
 
 /* Ends all faults. The group must reach one leader and one state. */
 static void settle(model *m) {
-  m->calm = 1;
+  m->faults_off = 1;
   m->flapping = NULL;
   for (int i = 0; i < m->count; i++) {
     m->n[i].cut = 0;
@@ -743,7 +743,7 @@
 static int64_t cold_start(uint64_t seed, int64_t spread, int absent) {
   static model m; /* large */
   create_group(&m, seed, NODES);
-  m.calm = 1;
+  m.faults_off = 1;
   int64_t at[NODES], sorted[NODES];
   for (int i = 0; i < NODES; i++) {
     at[i] = m.now + (int64_t)pwrand_below(&m.rnd, (uint64_t)spread);
