--- a/packages/consensus/pwmember.c
+++ b/packages/consensus/pwmember.c
@@ -1,12 +1,12 @@
-/* pwmember.c: which single change of a group's membership comes next. */
+/* pwmember.c: choice of the next single change of a group's membership. */
 #include "pwmember.h"
 
 #ifndef PW_MUTATION
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_KEEP_SILENT = 18, /* a lost instance keeps its place */
-  MUT_CROWD = 19        /* learners vote whatever the group's size */
+  MUT_KEEP_SILENT = 18, /* never replaces a silent voter */
+  MUT_CROWD = 19        /* promotes learners beyond the group's size */
 };
 
 int pwmember_has(const pw_cons_config *c, uint64_t id) {
@@ -16,6 +16,7 @@
   return 0;
 }
 
+/* The index of the voter or learner of a slot; -1: none. */
 static int find_slot(const pw_cons_config *c, uint32_t slot, int voter) {
   for (int i = 0; i < c->n; i++)
     if (c->m[i].slot == slot && c->m[i].voter == voter)
@@ -42,7 +43,7 @@
   return n;
 }
 
-/* The voter that has been silent for longest, if that is too long. */
+/* The index of the longest silent voter, if it has reached PWMEMBER_REPLACE_MS; -1: none. */
 static int find_silent(const pw_cons *cons, const pw_cons_config *c) {
   int64_t longest = PWMEMBER_REPLACE_MS;
   int found = -1;
@@ -56,10 +57,10 @@
   return found;
 }
 
-/* Whether one more may vote. In a full group only beside a silent voter, which
-** is removed after that: removed before, two losses at once could leave too few
-** of those that are left, and the silent one, back again, would not count. */
-static int has_place(const pw_cons *cons, int size, const pw_cons_config *c) {
+/* Whether one more learner may be promoted. A full group must have a silent
+** voter, which is removed after the promotion. If it were removed first, two
+** further losses could leave no quorum, and its return would not help. */
+static int may_promote(const pw_cons *cons, int size, const pw_cons_config *c) {
   int n = voters(c);
   if (size <= 0 || n < size || PW_MUTATION == MUT_CROWD)
     return 1;
@@ -67,6 +68,7 @@
          PW_MUTATION != MUT_KEEP_SILENT;
 }
 
+/* Promotes a learner that has caught up, or removes the voter of its slot before that. */
 static const char *promote(const pw_cons *cons, int size,
                            pw_cons_config *next) {
   for (int i = 0; i < next->n; i++) {
@@ -77,7 +79,7 @@
       drop(next, old);
       return "remove";
     }
-    if (!has_place(cons, size, next))
+    if (!may_promote(cons, size, next))
       continue;
     next->m[i].voter = 1;
     return "promote";
@@ -85,7 +87,7 @@
   return NULL;
 }
 
-/* A group that is larger than its size loses a silent voter. */
+/* Removes a silent voter from a group that has more voters than its size. */
 static const char *shrink(const pw_cons *cons, int size, pw_cons_config *next) {
   int silent = find_silent(cons, next);
   if (size <= 0 || voters(next) <= size || silent < 0)
@@ -94,13 +96,14 @@
   return "remove";
 }
 
+/* Whether the voter of a slot has answered within two leases. */
 static int slot_is_alive(const pw_cons *cons, const pw_cons_config *c,
                          uint32_t slot, int64_t lease) {
   int voter = find_slot(c, slot, 1);
   return voter >= 0 && pwcons_peer_silence(cons, c->m[voter].id) <= 2 * lease;
 }
 
-/* A learner that has been silent for long; -1: none. */
+/* The index of a learner that has been silent for PWMEMBER_REPLACE_MS; -1: none. */
 static int find_lost_learner(const pw_cons *cons, const pw_cons_config *c) {
   for (int i = 0; i < c->n; i++)
     if (!c->m[i].voter &&
@@ -120,11 +123,11 @@
   *next = *pwcons_config(cons);
   if (slot_is_alive(cons, next, joining->slot, lease))
     return NULL;
-  int lost = find_slot(next, joining->slot, 0);
-  if (lost < 0 && next->n == PWCONS_MEMBERS)
-    lost = find_lost_learner(cons, next);
-  if (lost >= 0) /* an earlier learner of this slot is lost too */
-    next->m[lost] = *joining;
+  int replaced = find_slot(next, joining->slot, 0);
+  if (replaced < 0 && next->n == PWCONS_MEMBERS)
+    replaced = find_lost_learner(cons, next);
+  if (replaced >= 0) /* replaces an earlier learner */
+    next->m[replaced] = *joining;
   else if (next->n < PWCONS_MEMBERS)
     next->m[next->n++] = *joining;
   else
