--- a/packages/policy/pwadmit.c
+++ b/packages/policy/pwadmit.c
@@ -1,4 +1,4 @@
-/* pwadmit.c: an agent's decision on a request. */
+/* pwadmit.c: an agent's decision on a request: start, queue or refuse it. */
 #include "pwadmit.h"
 
 #define MS 1000.0
@@ -6,12 +6,14 @@
 #define SERVED_KEEP 0.7 /* weight of the past in the average */
 #define WAIT_MAX_MS 600000.0
 
-/* A shorter wait for a slot costs less than a refusal, which has the entry ask elsewhere, there and
-** back (1.4 ms one way between availability zones), and may be refused there, too. */
+/* A wait for a slot of up to this many ms costs less than a refusal: the entry
+** would try another target, with a round trip (1.4 ms one way between
+** availability zones) and perhaps another refusal. */
 #define HOP_MS 10
 
-/* So does one of less than this part of the time that the request is under way: when an agent has
-** stood still for 1 s, 76 hops more for 600 requests bring nobody an answer sooner. */
+/* The same holds for a wait of up to this part of the request's age. After an
+** agent stalled for 1 s, refusals cost 76 more hops for 600 requests and give
+** no caller an earlier answer. */
 #define AGE_PART 0.1
 
 void pwadmit_init(pw_admit *a, int slots, int queue, double rate, int64_t now) {
@@ -21,7 +23,7 @@
                   .reuse = PWADMIT_REUSE,
                   .served = rate,
                   .served_at = now,
-                  .used_at = now};
+                  .slot_ms_at = now};
   pwload_init(&a->load, rate, now);
 }
 
@@ -34,88 +36,91 @@
   return pwbound_fits(pwload_now(&a->load, now), cost, pool, &a->bound, now);
 }
 
-/* Of a request that others had no room for, or that has waited. */
+/* Whether a request may start that no other target had room for, or that has
+** waited in the queue. */
 static int may_start(pw_admit *a, double cost, const pw_pool_sum *pool,
                      int64_t now) {
   return pwbound_admits(pwload_now(&a->load, now), cost, pool, &a->bound, now);
 }
 
-/* Before the number of those that run changes. */
-static void count_in_use(pw_admit *a, int64_t now) {
-  a->in_use_ms += (double)a->running * (double)(now - a->used_at);
-  a->used_at = now;
+/* Updates the slot time; called before `running` changes. */
+static void count_slot_ms(pw_admit *a, int64_t now) {
+  a->slot_ms += (double)a->running * (double)(now - a->slot_ms_at);
+  a->slot_ms_at = now;
 }
 
 static void start(pw_admit *a, double cost, int64_t now) {
   pwload_add(&a->load, cost, now);
-  count_in_use(a, now);
+  count_slot_ms(a, now);
   a->running++;
 }
 
-/* Until a slot is free for one more in the queue, by how long requests took lately. The rate at which
-** tokens were served tells less than a target can do that had little to do until now. */
-static int waits_shortly(const pw_admit *a, int64_t age_ms) {
-  if (a->running < a->slots || a->took_ms <= 0)
+/* Whether a slot is soon free for one more request in the queue, by the recent
+** time of a request. The recent token rate would be too low an estimate for a
+** target that had little to do until now. */
+static int is_wait_short(const pw_admit *a, int64_t age_ms) {
+  if (a->running < a->slots || a->request_ms <= 0)
     return 0;
   double turns = (pwqueue_count(a->queue) + 0.5) / a->slots;
   double short_ms = AGE_PART * (double)age_ms;
-  return turns * a->took_ms <= (short_ms > HOP_MS ? short_ms : HOP_MS);
+  return turns * a->request_ms <= (short_ms > HOP_MS ? short_ms : HOP_MS);
 }
 
 uint32_t pwadmit_wait(const pw_admit *a, const char *workspace, double weight,
                       int priority) {
   double ahead = pwqueue_ahead(a->queue, workspace, weight, priority);
   double rate = a->served > 1 ? a->served : 1;
-  /* Something in progress has to end first: half of a mean request's cost. */
+  /* A request in progress has to end first: half of the mean cost on average. */
   double first = a->running ? a->load.actual / a->running / 2 : 0;
   double ms = (ahead + first) / rate * MS;
   return (uint32_t)(ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
 }
 
-/* How long a wait for the cached prefix pays: the time in which the target
-** would compute the prompt again, at the rate it works at, times `reuse`. */
+/* Longest wait in ms that pays for the cached prefix: the time in which the
+** target would compute the prompt again at its recent rate, times `reuse`. */
 static uint32_t worth_of(const pw_admit *a, double recompute) {
   double rate = a->served > 1 ? a->served : 1;
   double ms = a->reuse * PWBOUND_PROMPT_WEIGHT * recompute / rate * MS;
   return (uint32_t)(ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
 }
 
-pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *ask,
+pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *request,
                             const pw_pool_sum *pool, int64_t now) {
   pw_admit_answer out = {.verdict = PW_ADMIT_REFUSED, .code = PW_E_BUSY};
   int64_t held_ms = pwholdoff_left(&a->hold_off, now);
   int free_slot = a->running < a->slots && held_ms == 0;
-  int has_room = ask->may_queue ? may_start(a, ask->cost, pool, now)
-                                : fits(a, ask->cost, pool, now);
+  int has_room = request->may_queue ? may_start(a, request->cost, pool, now)
+                                    : fits(a, request->cost, pool, now);
   if (free_slot && has_room && pwqueue_count(a->queue) == 0) {
-    start(a, ask->cost, now);
+    start(a, request->cost, now);
     out.verdict = PW_ADMIT_START;
     out.code = PW_OK;
     return out;
   }
   out.by_bound = free_slot && !has_room;
-  out.wait = pwadmit_wait(a, ask->workspace, ask->weight, ask->priority);
+  out.wait =
+      pwadmit_wait(a, request->workspace, request->weight, request->priority);
   if (out.wait < held_ms)
     out.wait = (uint32_t)held_ms;
-  if (now + out.wait >= ask->deadline) {
+  if (now + out.wait >= request->deadline) {
     out.code = PW_E_DEADLINE;
     return out;
   }
-  out.worth = worth_of(a, ask->recompute);
-  if (!ask->may_queue && out.wait >= out.worth &&
-      (held_ms || !waits_shortly(a, ask->age_ms)))
+  out.worth = worth_of(a, request->recompute);
+  if (!request->may_queue && out.wait >= out.worth &&
+      (held_ms || !is_wait_short(a, request->age_ms)))
     return out;
-  pw_item item = {.weight = ask->weight,
-                  .priority = ask->priority,
-                  .cost = ask->cost,
-                  .deadline = ask->deadline,
+  pw_item item = {.weight = request->weight,
+                  .priority = request->priority,
+                  .cost = request->cost,
+                  .deadline = request->deadline,
                   .since = now,
-                  .job = ask->job};
+                  .job = request->job};
   int n = 0;
-  for (; ask->workspace[n] && n < PW_NAME_MAX - 1; n++)
-    item.workspace[n] = ask->workspace[n];
+  for (; request->workspace[n] && n < PW_NAME_MAX - 1; n++)
+    item.workspace[n] = request->workspace[n];
   out.pushed_out = pwqueue_push(a->queue, &item);
-  if (out.pushed_out == ask->job) {
+  if (out.pushed_out == request->job) {
     out.pushed_out = 0;
     return out;
   }
@@ -138,42 +143,42 @@
   return item.job;
 }
 
-/* How long a request takes, by the slots that were in use for those that ended. */
-static void note_took(pw_admit *a, int64_t now) {
-  count_in_use(a, now);
-  if (a->nended) {
-    double took = a->in_use_ms / a->nended;
-    a->took_ms = a->took_ms > 0
-                     ? SERVED_KEEP * a->took_ms + (1 - SERVED_KEEP) * took
-                     : took;
+/* Averages the time of a request: slot time per request that ended. */
+static void average_request_ms(pw_admit *a, int64_t now) {
+  count_slot_ms(a, now);
+  if (a->ended_since) {
+    double ms = a->slot_ms / a->ended_since;
+    a->request_ms = a->request_ms > 0
+                        ? SERVED_KEEP * a->request_ms + (1 - SERVED_KEEP) * ms
+                        : ms;
   }
-  a->in_use_ms = 0;
-  a->nended = 0;
+  a->slot_ms = 0;
+  a->ended_since = 0;
 }
 
-/* Average of tokens done a second, over about three seconds. */
-static void count_served(pw_admit *a, double tokens, int64_t now) {
-  a->since_at += tokens;
+/* Averages the tokens done per second over about three seconds. */
+static void average_served(pw_admit *a, double tokens, int64_t now) {
+  a->tokens_since += tokens;
   int64_t passed = now - a->served_at;
   if (passed < SERVED_WINDOW_MS)
     return;
-  double rate = a->since_at / (double)passed * MS;
-  note_took(a, now);
+  double rate = a->tokens_since / (double)passed * MS;
+  average_request_ms(a, now);
   if (a->running)
     a->served = SERVED_KEEP * a->served + (1 - SERVED_KEEP) * rate;
-  a->since_at = 0;
+  a->tokens_since = 0;
   a->served_at = now;
 }
 
 void pwadmit_progress(pw_admit *a, double tokens, int64_t now) {
   pwload_add(&a->load, -tokens, now);
-  count_served(a, tokens, now);
+  average_served(a, tokens, now);
 }
 
 void pwadmit_end(pw_admit *a, double left, int64_t now) {
   pwload_add(&a->load, -left, now);
-  count_served(a, 0, now);
-  count_in_use(a, now);
-  a->nended++;
+  average_served(a, 0, now);
+  count_slot_ms(a, now);
+  a->ended_since++;
   a->running--;
 }
--- a/packages/policy/pwadmit.h
+++ b/packages/policy/pwadmit.h
@@ -1,4 +1,4 @@
-/* pwadmit.h: an agent's decision on a request: start, queue or refuse. */
+/* pwadmit.h: an agent's decision on a request: start, queue or refuse it. */
 #ifndef PWADMIT_H
 #define PWADMIT_H
 
@@ -10,33 +10,32 @@
 typedef struct pw_admit {
   pw_queue *queue;
   pw_load load;
-  int slots; /* requests in progress at most */
+  int slots; /* most requests in progress at a time */
   int running;
   pw_holdoff
-      hold_off; /* the target has asked to be left alone: nothing starts */
+      hold_off; /* asked for by the target: nothing starts until it ends */
   pw_bound bound;
-  double reuse;    /* how much more than its time a cached prefix is worth */
-  double served;   /* tokens a second lately, for estimates */
-  double since_at; /* tokens ended since served_at */
-  int64_t served_at;
-  double
-      took_ms; /* a request lately, from its start to its end; 0: none has ended */
-  double in_use_ms; /* slots in use, summed over the time since used_at ... */
-  int64_t used_at;
-  int nended; /* ... and requests that have ended, since served_at */
+  double reuse;        /* worth of a cached prefix as a multiple of the time to
+                            compute it */
+  double served;       /* recent tokens a second, for estimates */
+  double tokens_since; /* tokens done since served_at */
+  int64_t served_at;   /* start of the current averaging window, ms */
+  double request_ms;   /* recent mean time of a request; 0: none has ended */
+  double slot_ms;      /* slots in use, integrated over the window in ms */
+  int64_t slot_ms_at;  /* time up to which slot_ms is counted */
+  int ended_since;     /* requests that ended since served_at */
 } pw_admit;
 
-/* What the agent is asked. */
+/* A request to decide on. */
 typedef struct pw_admit_ask {
   const char *workspace;
   double weight;
   int priority;
   double cost;      /* tokens it will have in progress */
-  double recompute; /* tokens another target would compute again, or the cost
-                       of taking them over in tokens computed */
+  double recompute; /* tokens that another target would have to compute again,
+                       or the cost of importing them, in computed tokens */
   int64_t deadline; /* agent's clock, ms */
-  int64_t
-      age_ms; /* since the entry sent it: much where the agent stood still */
+  int64_t age_ms;   /* since the entry sent it: large after the agent stalled */
   int may_queue;
   void *job;
 } pw_admit_ask;
@@ -50,10 +49,10 @@
 typedef struct pw_admit_answer {
   pw_admit_verdict verdict;
   pw_code code;     /* when refused */
-  uint32_t wait;    /* ms until it could start, estimated */
-  uint32_t worth;   /* ms that it may wait here for the cached prefix */
-  void *pushed_out; /* a queued job to refuse in its place, or NULL */
-  int by_bound;     /* a slot was free, only the bound held it back */
+  uint32_t wait;    /* estimated ms until it could start */
+  uint32_t worth;   /* ms of waiting here that the cached prefix is worth */
+  void *pushed_out; /* a queued job to refuse instead of this one, or NULL */
+  int by_bound;     /* a slot was free, but the load bound forbade the start */
 } pw_admit_answer;
 
 void pwadmit_init(pw_admit *a, int slots, int queue, double rate, int64_t now);
@@ -62,21 +61,23 @@
 /* Default of `reuse`. */
 #define PWADMIT_REUSE 8.0
 
-/* Decides. PW_ADMIT_START has counted the cost. */
-pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *ask,
+/* Decides on a request. With PW_ADMIT_START its cost has been counted. */
+pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *request,
                             const pw_pool_sum *pool, int64_t now);
 
-/* The next queued job that may start, its cost counted, or NULL. pool_of gives
-** the sum of the pool a job is in. */
+/* The next queued job that may start, its cost counted, or NULL. pool_of
+** returns the load sum of the pool that a job belongs to. */
 void *pwadmit_next(pw_admit *a,
                    const pw_pool_sum *(*pool_of)(void *arg, void *job),
                    void *arg, int64_t now);
 
-/* Tokens of a started request that are done, and its end. */
+/* Counts `tokens` of a started request as done. */
 void pwadmit_progress(pw_admit *a, double tokens, int64_t now);
+
+/* Ends a started request that has `left` tokens not done. */
 void pwadmit_end(pw_admit *a, double left, int64_t now);
 
-/* Milliseconds a new request of that standing would wait, estimated. */
+/* Estimated wait in ms of a new request of this workspace, weight, priority. */
 uint32_t pwadmit_wait(const pw_admit *a, const char *workspace, double weight,
                       int priority);
 
--- a/packages/policy/pwpick.c
+++ b/packages/policy/pwpick.c
@@ -1,22 +1,24 @@
-/* pwpick.c: which target a gateway sends a request to. */
+/* pwpick.c: a gateway's choice of the target for a request. */
 #include "pwpick.h"
 
 #include <xxhash.h>
 
-#define NEAR_MS 1.0 /* what staying in the availability zone may cost in wait */
+/* Extra wait in ms that is accepted to stay in the availability zone. */
+#define NEAR_MS 1.0
 
-/* A prompt lies at so many targets, the first in its order; others count while less
-** than this share of their slots is taken. */
+/* A prompt is placed at this many targets, the first ones in its order. Later
+** ones qualify only while less than SPARE_SHARE of their slots is taken. */
 #define COPIES 3
 #define SPARE_SHARE 0.75
 
-/* A bound of less than so many times the mean and so many requests more leaves no room for
-** homes that are busier than others. */
+/* A limit below TIGHT_TIMES times the mean plus TIGHT_EXTRA requests leaves no
+** room for homes that are busier than others. */
 #define TIGHT_TIMES 1.15
 #define TIGHT_EXTRA 2.0
 
-/* Requests that a target may hold past twice the mean; less what is not seen yet, down to the
-** least that leaves homes any room. */
+/* Requests that a target may hold above its multiple of the mean. UNSEEN_TIMES
+** times the requests not visible yet are subtracted, down to EXTRA_LEAST, the
+** least that still leaves room for homes. */
 #define EXTRA_MOST 3.0
 #define EXTRA_LEAST 2.0
 #define UNSEEN_TIMES 2.0
@@ -45,12 +47,12 @@
 
 double pwpick_limit(const pw_pick *t, int n, pw_pick_bound bound) {
   double limit = bound.times * mean_of_usable(t, n) + bound.extra;
-  double of_all = bound.all_times * mean_of_alive(t, n) + bound.all_extra;
-  return bound.all_times > 0 && of_all < limit ? of_all : limit;
+  double of_alive = bound.alive_times * mean_of_alive(t, n) + bound.alive_extra;
+  return bound.alive_times > 0 && of_alive < limit ? of_alive : limit;
 }
 
-double pwpick_extra(double a_second, double age_ms) {
-  double unseen = a_second * age_ms / MS_PER_S;
+double pwpick_extra(double rate, double age_ms) {
+  double unseen = rate * age_ms / MS_PER_S;
   double extra = EXTRA_MOST - UNSEEN_TIMES * unseen;
   return extra > EXTRA_LEAST ? extra : EXTRA_LEAST;
 }
@@ -60,7 +62,7 @@
   return XXH3_64bits(both, sizeof both);
 }
 
-/* The first in the key's order among those that fit; -1: none does. */
+/* The first target in the key's order that fits; -1: none does. */
 static int first_in_order(const pw_pick *t, int n, uint64_t key,
                           int (*fits)(const pw_pick *t, double limit),
                           double limit) {
@@ -82,7 +84,7 @@
   return t->is_usable && t->load < t->slots && t->load + 1 <= limit;
 }
 
-static int holds_prompts(const pw_pick *t, double limit) {
+static int may_hold_prompts(const pw_pick *t, double limit) {
   (void)limit;
   return t->is_alive && !t->is_new;
 }
@@ -91,8 +93,8 @@
   return has_room(t, limit) && t->load < SPARE_SHARE * t->slots;
 }
 
-/* How many usable ones come before it in the key's order. */
-static int place_of(const pw_pick *t, int n, uint64_t key, int which) {
+/* How many usable targets come before it in the key's order. */
+static int rank_of(const pw_pick *t, int n, uint64_t key, int which) {
   uint64_t mine = score(key, t[which].id);
   int before = 0;
   for (int i = 0; i < n; i++)
@@ -100,19 +102,20 @@
   return before;
 }
 
-/* Whether the bound on the mean of all that are alive leaves those that may be sent to little
-** more than their own mean. */
+/* Whether the bound on the mean of all targets that are alive leaves the usable
+** ones little more than their own mean. */
 static int is_tight(const pw_pick *t, int n, pw_pick_bound bound,
                     double limit) {
-  return bound.all_times > 0 &&
+  return bound.alive_times > 0 &&
          limit < TIGHT_TIMES * mean_of_usable(t, n) + TIGHT_EXTRA;
 }
 
-/* The one that has the fewest of this gateway's own requests, of several the first in the
-** key's order. Each gateway's own are known at once, the others' late: where each spreads its
-** own evenly, all together are even. With the least loaded of several, by loads that are told
-** late, 162 of 2,817 requests were beyond the bound in place of 87. */
-static int pick_even(const pw_pick *t, int n, uint64_t key, double limit) {
+/* The target with the fewest of this gateway's own requests; ties go to the
+** first in the key's order. A gateway knows its own requests at once and those
+** of others late; if each spreads its own evenly, the sum is even. Choosing the
+** least loaded target by the late loads puts 162 of 2,817 requests beyond the
+** bound instead of 87. */
+static int pick_least_own(const pw_pick *t, int n, uint64_t key, double limit) {
   int best = -1;
   for (int i = 0; i < n; i++) {
     if (!has_room(&t[i], limit))
@@ -128,16 +131,16 @@
 int pwpick_home(const pw_pick *t, int n, uint64_t key, pw_pick_bound bound) {
   double limit = pwpick_limit(t, n, bound);
   if (is_tight(t, n, bound, limit))
-    return pick_even(t, n, key, limit);
+    return pick_least_own(t, n, key, limit);
   int best = first_in_order(t, n, key, has_room, limit);
   if (best < 0 || has_slots_to_spare(&t[best], limit) ||
-      place_of(t, n, key, best) < COPIES)
+      rank_of(t, n, key, best) < COPIES)
     return best;
   return first_in_order(t, n, key, has_slots_to_spare, limit);
 }
 
 int pwpick_holder(const pw_pick *t, int n, uint64_t key) {
-  return first_in_order(t, n, key, holds_prompts, 0);
+  return first_in_order(t, n, key, may_hold_prompts, 0);
 }
 
 double pwpick_wait(const pw_pick *t) {
