--- a/packages/policy/pwplaces.c
+++ b/packages/policy/pwplaces.c
@@ -1,30 +1,35 @@
-/* pwplaces.c: who may have a place when places are short. */
+/* pwplaces.c: load shedding by urgency class. */
 #include "pwplaces.h"
 
 #include <assert.h>
 #include <math.h>
 
-/* The part of the requests of one urgency that may find no place before more is kept for
-** it; how much more for each that does not; and the most: half and twice of it differ by
-** 0.01 of a day at four and six times the usual load. */
+/* The share of a class's requests that may get no slot before its reserve
+** grows; the step by which it grows for each that gets none; and its maximum.
+** Half or twice of the maximum changes the score by 0.01 at four and six times
+** the baseline load. */
 #define MISSED_SHARE 0.02
 #define RESERVE_STEP 0.004
 #define RESERVE_MOST 0.1
 
-/* An urgency that gets less than this part of what all get has places that are kept for
-** others, too: it is served less, but not starved. With 0.5, 0.8, 0.9 a day of 42 targets at four
-** times the usual load was worth 0.690, 0.714, 0.717, the most urgent had 0.98, 0.98, 0.97 of their
-** credit; at six times 0.403, 0.417, 0.417 and 0.86, 0.78, 0.76. */
+/* A class whose admitted share is below this part of the overall share may use
+** slots reserved for others as well: it is served less, but not starved. With
+** 0.5, 0.8 and 0.9, 42 targets at four times the baseline load score 0.690,
+** 0.714 and 0.717 of the possible credit (requests answered in time, weighted
+** by class) and the most urgent class 0.98, 0.98 and 0.97 of its own; at six
+** times the load it is 0.403, 0.417, 0.417 and 0.86, 0.78, 0.76. */
 #define LEAST_PART 0.8
 
-/* When this part of those who ask for the first time find no place, none is for those who come
-** back: as many are refused for good, but more are answered in their goal. */
-#define RETURN_MOST 0.1
+/* When this share of the first attempts gets no slot, no retry gets one. As
+** many requests fail in the end, but more are answered within their time
+** goal. */
+#define FIRST_MISSED_MAX 0.1
 
-/* Who asked and got a place is counted over about so long, ms. */
-#define LATELY_MS 3000.0
+/* Time constant in ms with which the counts decay. */
+#define DECAY_MS 3000.0
 
-/* Callers come back after no more than this part of the time that they have. */
+/* A caller retries after at most 1 / RETRY_PART of the time it has left, and
+** not before RETRY_LEAST_MS. */
 #define RETRY_PART 3
 #define RETRY_LEAST_MS 100
 
@@ -32,54 +37,55 @@
   *p = (pw_places){.at = now};
 }
 
-static void fade(pw_places *p, int64_t now) {
-  double left = exp(-(double)(now - p->at) / LATELY_MS);
+static void decay(pw_places *p, int64_t now) {
+  double left = exp(-(double)(now - p->at) / DECAY_MS);
   p->at = now;
-  p->first_asked *= left;
-  p->first_got *= left;
+  p->first_requests *= left;
+  p->first_admitted *= left;
   for (int i = 0; i < PWPLACES_SURPLUS; i++) {
-    p->asked[i] *= left;
-    p->got[i] *= left;
+    p->requests[i] *= left;
+    p->admitted[i] *= left;
   }
 }
 
 void pwplaces_asked(pw_places *p, int urgency, int is_last, int got,
                     int64_t now) {
   assert(urgency >= 0 && urgency < PWPLACES_URGENCIES);
-  fade(p, now);
-  p->asked[urgency % PWPLACES_SURPLUS]++;
-  p->got[urgency % PWPLACES_SURPLUS] += got != 0;
+  decay(p, now);
+  p->requests[urgency % PWPLACES_SURPLUS]++;
+  p->admitted[urgency % PWPLACES_SURPLUS] += got != 0;
   if (is_last)
     return;
-  p->first_asked++;
-  p->first_got += got != 0;
+  p->first_requests++;
+  p->first_admitted += got != 0;
   double *r = &p->reserve[urgency];
   *r += got ? -RESERVE_STEP * MISSED_SHARE : RESERVE_STEP;
   *r = *r < 0 ? 0 : *r > RESERVE_MOST ? RESERVE_MOST : *r;
 }
 
 int pwplaces_may_return(const pw_places *p, double draw) {
-  double missed = p->first_asked - p->first_got;
-  return missed <= draw * RETURN_MOST * p->first_asked;
+  double missed = p->first_requests - p->first_admitted;
+  return missed <= draw * FIRST_MISSED_MAX * p->first_requests;
 }
 
 double pwplaces_share(const pw_places *p) {
-  double asked = 0, got = 0;
+  double requests = 0, admitted = 0;
   for (int i = 0; i < PWPLACES_SURPLUS; i++) {
-    asked += p->asked[i];
-    got += p->got[i];
+    requests += p->requests[i];
+    admitted += p->admitted[i];
   }
-  return asked > 0 ? got / asked : 1;
+  return requests > 0 ? admitted / requests : 1;
 }
 
-static int is_passed_over(const pw_places *p, int urgency) {
+/* Whether the admitted share of the class is far below the overall share. */
+static int is_starved(const pw_places *p, int urgency) {
   int i = urgency % PWPLACES_SURPLUS;
-  return p->got[i] < LEAST_PART * pwplaces_share(p) * p->asked[i];
+  return p->admitted[i] < LEAST_PART * pwplaces_share(p) * p->requests[i];
 }
 
 double pwplaces_reserve(const pw_places *p, int urgency, int is_last) {
   double sum = 0;
-  if (!is_last && is_passed_over(p, urgency))
+  if (!is_last && is_starved(p, urgency))
     return 0;
   for (int i = 0; i < urgency + (is_last != 0); i++)
     sum += p->reserve[i];
--- a/packages/policy/pwshare.h
+++ b/packages/policy/pwshare.h
@@ -1,32 +1,34 @@
-/* pwshare.h: a gateway's part of the places of a service.
+/* pwshare.h: a gateway's share of the slots of a service.
 **
-** Pure: time comes in as an argument. Answers this load: all of a hundred gateways are asked
-** for several times what the targets can do. What each knows of the others' requests is
-** older than a request takes, so each found places free that all had found free: three to
-** six in ten of what reached targets was turned away, and queues stood before all of
-** them. What a gateway is asked for beside what all are asked for is known without haste: it
-** changes alike for all when a rush begins. */
+** Pure: time comes in as an argument. Prevents this failure: under several
+** times the load that the targets can take, a hundred gateways learn of each
+** other's requests later than a request takes, and all of them fill the same
+** free slots. The targets refuse three to six in ten of the requests that
+** reach them, and queues build up at all of them. A gateway's share of all
+** requests changes slowly, and alike for all gateways when the load rises, so
+** it may be known late. */
 #ifndef PWSHARE_H
 #define PWSHARE_H
 
 #include <stdint.h>
 
-/* How much a gateway is asked for. */
+/* The recent request rate at one gateway. */
 typedef struct pw_share {
-  double asked; /* requests lately */
-  int64_t at;   /* when this was right, ms */
+  double requests; /* decaying count */
+  int64_t at;      /* time up to which it has decayed, ms */
 } pw_share;
 
-/* A request came. */
+/* Counts a request. */
 void pwshare_asked(pw_share *s, int64_t now);
 
-/* Requests a second, lately. */
+/* Recent requests a second. */
 double pwshare_rate(const pw_share *s, int64_t now);
 
-/* How many requests this gateway may have at targets of `slots` together, of which `used` are
-** taken as far as it knows: `mine` and `all` are what it and all gateways, it too, are asked for,
-** requests a second. While places are free it may have more than its part. `kept` is the share of
-** places that is kept for more urgent requests (pwplaces). */
+/* How many requests this gateway may have in flight at targets with `slots` in
+** total, of which `used` are in use as far as it knows. `mine` and `all` are
+** the requests a second at this gateway and at all of them, including this
+** one. While slots are free it may exceed its share. `kept` is the share of
+** the slots reserved for more urgent requests (pwplaces). */
 double pwshare_places(double mine, double all, double slots, double used,
                       double kept);
 
--- a/packages/policy/pwsurge.c
+++ b/packages/policy/pwsurge.c
@@ -1,4 +1,4 @@
-/* pwsurge.c: which workspaces send many times their usual. */
+/* pwsurge.c: detects load spikes of single workspaces. */
 #include "pwsurge.h"
 
 #include "pwbuf.h"
@@ -8,20 +8,21 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-/* What is sent now is counted over about so long, what is usual over so long, ms. */
+/* Time constants in ms of the current rate and of the baseline. */
 #define NOW_MS 1000.0
-#define USUAL_MS 300000.0
+#define BASELINE_MS 300000.0
 
-/* A workspace may send so many times its usual part, and so many requests more, before
-** the rest counts as a surge: large and small ones come in clumps. */
+/* A workspace may send TIMES its baseline share and EXTRA requests more before
+** the rest counts as a spike, since requests arrive in bursts. */
 #define TIMES 2.0
 #define EXTRA 8.0
 
-#define WORKSPACES_MAX 1000 /* that are known; others never surge */
+/* Workspaces that are tracked; the others are never seen as spiking. */
+#define WORKSPACES_MAX 1000
 
-/* Counts that fade. */
+/* Decaying counts of requests. */
 typedef struct counts {
-  double now, usual;
+  double now, baseline;
   int64_t at;
 } counts;
 
@@ -53,10 +54,10 @@
   free(s);
 }
 
-static void fade(counts *c, int64_t now) {
+static void decay(counts *c, int64_t now) {
   double passed = (double)(now - c->at);
   c->now *= exp(-passed / NOW_MS);
-  c->usual *= exp(-passed / USUAL_MS);
+  c->baseline *= exp(-passed / BASELINE_MS);
   c->at = now;
 }
 
@@ -72,28 +73,29 @@
   return r;
 }
 
-/* The part of what a workspace sends now that is more than it may. */
+/* The share of a workspace's current requests that exceeds what it may send. */
 static double surplus_of(const counts *all, const counts *mine) {
   double others_now = all->now - mine->now;
-  double others_usual = all->usual - mine->usual;
-  double part =
-      others_usual > 0 ? mine->usual * others_now / others_usual : mine->now;
-  double surplus = mine->now - TIMES * part - EXTRA;
+  double others_baseline = all->baseline - mine->baseline;
+  double expected = others_baseline > 0
+                        ? mine->baseline * others_now / others_baseline
+                        : mine->now;
+  double surplus = mine->now - TIMES * expected - EXTRA;
   return surplus > 0 ? surplus / mine->now : 0;
 }
 
-/* A surplus does not become usual: a surge of seconds would soon be the most of what is
-** known of a process that has just started. */
+/* The surplus is left out of the baseline: in a process that has just started,
+** a spike of seconds would soon make up most of it. */
 double pwsurge_note(pw_surge *s, const char *workspace, int64_t now) {
   row *r = row_of(s, workspace, now);
   if (!r)
     return 0;
-  fade(&s->all, now);
-  fade(&r->n, now);
+  decay(&s->all, now);
+  decay(&r->n, now);
   s->all.now++;
   r->n.now++;
   double surplus = surplus_of(&s->all, &r->n);
-  s->all.usual += 1 - surplus;
-  r->n.usual += 1 - surplus;
+  s->all.baseline += 1 - surplus;
+  r->n.baseline += 1 - surplus;
   return surplus;
 }
--- a/packages/policy/pwsurge.h
+++ b/packages/policy/pwsurge.h
@@ -1,8 +1,9 @@
-/* pwsurge.h: which workspaces send many times their usual, while others do not.
+/* pwsurge.h: detects load spikes of single workspaces.
 **
-** Pure: time comes in as an argument. A workspace's usual part of all requests is
-** learned over minutes; what it sends now is compared with what that part would be of
-** what the others send now, so that a rush of all is no surge of any. */
+** Pure: time comes in as an argument. The baseline is a workspace's share of
+** all requests over minutes. Its current rate is compared with that share of
+** what the other workspaces send now, so that a rise of the whole load is a
+** spike of none. */
 #ifndef PWSURGE_H
 #define PWSURGE_H
 
@@ -13,8 +14,9 @@
 pw_surge *pwsurge_new(int64_t now);
 void pwsurge_free(pw_surge *s);
 
-/* A request of the workspace came. The part of its requests that are more than it may
-** send before others have theirs, 0 to 1. */
+/* Counts a request of the workspace. Returns the share of its current requests
+** that exceeds what it may send before other workspaces take precedence, 0 to
+** 1. */
 double pwsurge_note(pw_surge *s, const char *workspace, int64_t now);
 
 #endif
--- a/packages/policy/pwusual.c
+++ b/packages/policy/pwusual.c
@@ -1,36 +1,38 @@
-/* pwusual.c: the time that callers of a route usually give a request. */
+/* pwusual.c: the baseline timeout of a route's callers. */
 #include "pwusual.h"
 
 #include <math.h>
 
-/* Times as close as this ratio are counted as one. */
+/* Timeouts within this ratio of each other are counted as one. */
 #define RATIO 1.03
 
-/* What so many said, or longer, lately, is usual; as a part of all. */
-#define USUAL_PART 10
+/* The baseline is the longest timeout that 1 / BASELINE_PART of the recent
+** requests reach. */
+#define BASELINE_PART 10
 
-/* The shortest of several usual times is said by so many, or a shorter one; those who come back
-** after a failure on a calm day are fewer. It is known when so many have said theirs: a kind that
-** one gateway is asked for twice a second was not known after 8 s with 60, and was the first to
-** lose its places. */
+/* 1 / SHORTEST_PART of the requests have the shortest common timeout or less;
+** retries after failures are fewer while load is low. It is known after
+** UNLOADED_LEAST requests. With 60 a kind of request that one gateway gets
+** twice a second was still unknown after 8 s, and was the first to lose its
+** slots. */
 #define SHORTEST_PART 30
-#define CALM_LEAST 10
+#define UNLOADED_LEAST 10
 
-/* Counts are halved when there are so many: what was said before fades. */
+/* The counts are halved at this total, so that old timeouts lose weight. */
 #define TOTAL_MOST 512
 
-static void fade(pw_usual_times *u) {
+static void halve(pw_usual_times *u) {
   u->total /= 2;
   for (int i = 0; i < PWUSUAL_TIMES; i++)
     u->count[i] /= 2;
 }
 
-/* Frequent items in a stream by few counters (Misra and Gries, 1982): a time that
-** has no counter takes one from each of the others. */
-static void note(pw_usual_times *u, int time) {
+/* Frequent items of a stream with few counters (Misra and Gries, 1982): a
+** timeout without a counter decrements all others. */
+static void count(pw_usual_times *u, int time) {
   int unused = -1;
   if (u->total >= TOTAL_MOST)
-    fade(u);
+    halve(u);
   u->total++;
   for (int i = 0; i < PWUSUAL_TIMES; i++) {
     if (u->count[i] && u->time[i] == time) {
@@ -53,17 +55,18 @@
   if (ms < 1)
     return;
   int time = (int)floor(log((double)ms) / log(RATIO));
-  note(&u->all, time);
+  count(&u->all, time);
   if (is_calm)
-    note(&u->calm, time);
+    count(&u->unloaded, time);
 }
 
 static int64_t ms_of(int time) {
   return (int64_t)pow(RATIO, time);
 }
 
-/* How many said that time or a longer one, or with sign -1 a shorter one. */
-static int said(const pw_usual_times *u, int time, int sign) {
+/* How many requests have that timeout or a longer one; with sign -1, or a
+** shorter one. */
+static int count_beyond(const pw_usual_times *u, int time, int sign) {
   int sum = 0;
   for (int i = 0; i < PWUSUAL_TIMES; i++)
     if (u->count[i] && sign * u->time[i] >= sign * time)
@@ -71,23 +74,24 @@
   return sum;
 }
 
-/* The longest time, or with sign -1 the shortest, that one in `part` reaches; 0: none. */
+/* The longest timeout, with sign -1 the shortest, that one request in `part`
+** reaches; 0: none. */
 static int64_t edge(const pw_usual_times *u, int part, int sign) {
   int best = -1;
   for (int i = 0; i < PWUSUAL_TIMES; i++)
-    if (u->count[i] && said(u, u->time[i], sign) * part >= u->total &&
+    if (u->count[i] && count_beyond(u, u->time[i], sign) * part >= u->total &&
         (best < 0 || sign * u->time[i] > sign * u->time[best]))
       best = i;
   return best < 0 ? 0 : ms_of(u->time[best]);
 }
 
 int64_t pwusual_ms(const pw_usual *u) {
-  return edge(&u->all, USUAL_PART, 1);
+  return edge(&u->all, BASELINE_PART, 1);
 }
 
 int64_t pwusual_shortest(const pw_usual *u) {
-  int64_t usual = pwusual_ms(u);
-  int64_t shortest = edge(&u->calm, SHORTEST_PART, -1);
-  int is_known = u->calm.total >= CALM_LEAST && shortest < usual;
-  return is_known ? shortest : usual;
+  int64_t baseline = pwusual_ms(u);
+  int64_t shortest = edge(&u->unloaded, SHORTEST_PART, -1);
+  int is_known = u->unloaded.total >= UNLOADED_LEAST && shortest < baseline;
+  return is_known ? shortest : baseline;
 }
--- a/packages/policy/pwusual.h
+++ b/packages/policy/pwusual.h
@@ -1,19 +1,21 @@
-/* pwusual.h: the time that callers of a route usually give a request, learned from what
-** they say. Who gives much less has tried before: its goal is past.
+/* pwusual.h: the baseline timeout of a route's callers, learned from the
+** timeouts of their requests. A much shorter timeout marks a retry: the
+** caller's time goal has passed.
 **
-** Pure. The usual time is the longest of those that many say; few who say more, and
-** callers who come back with whatever time they have left, do not change it. Where callers
-** differ in their patience, the shortest that many say is learned while nobody has to come
-** back: were all who give less than the longest taken for such, callers of little patience had
-** no place until all others had one. */
+** Pure. The baseline is the longest timeout that many requests have. The few
+** longer ones, and retries with whatever time is left, do not change it. Where
+** callers have different timeouts, the shortest common one is learned while
+** hardly any caller has to retry. If all requests below the longest timeout
+** were taken for retries, callers with short timeouts would get no slot until
+** all others had one. */
 #ifndef PWUSUAL_H
 #define PWUSUAL_H
 
 #include <stdint.h>
 
-#define PWUSUAL_TIMES 16 /* different times that are counted */
+#define PWUSUAL_TIMES 16 /* different timeouts that are counted */
 
-/* Times that were said, by how often. */
+/* Timeouts and their frequency. */
 typedef struct pw_usual_times {
   int time[PWUSUAL_TIMES]; /* logarithmic */
   int count[PWUSUAL_TIMES];
@@ -22,17 +24,18 @@
 
 typedef struct pw_usual {
   pw_usual_times all;
-  pw_usual_times calm; /* while hardly any caller was refused */
+  pw_usual_times unloaded; /* seen while hardly any caller was refused */
 } pw_usual;
 
-/* A caller gives its request so long, ms; `is_calm`: hardly any was refused lately. */
+/* Counts a request with a timeout of `ms`; `is_calm`: hardly any caller was
+** refused recently. */
 void pwusual_note(pw_usual *u, int64_t ms, int is_calm);
 
-/* The usual time, ms, a few hundredths less at most; 0: not known. */
+/* The baseline timeout in ms, at most a few percent too low; 0: unknown. */
 int64_t pwusual_ms(const pw_usual *u);
 
-/* The shortest that callers give who ask for the first time, ms, a few hundredths less at most;
-** the usual time while no other is known. */
+/* The shortest common timeout of first attempts in ms, at most a few percent
+** too low; the baseline while no other is known. */
 int64_t pwusual_shortest(const pw_usual *u);
 
 #endif
