--- a/packages/policy/pwdark.c
+++ b/packages/policy/pwdark.c
@@ -1,11 +1,13 @@
-/* pwdark.c: requests whose target said nothing any more. */
+/* pwdark.c: requests whose target became unresponsive. */
 #include "pwdark.h"
 
-/* Control has missed the heartbeats of a target that hangs by then, and told of it, ms. */
-#define KEPT_MS 15000
+/* How long requests are kept, in ms. By then control has missed the heartbeats
+** of a target that hangs, and has reported it. */
+#define KEEP_MS 15000
 
-void pwdark_note(pw_dark *d, uint64_t sign, uint64_t target, int64_t now) {
-  d->list[d->next] = (pw_dark_request){sign, target, now};
+void pwdark_note(pw_dark *d, uint64_t fingerprint, uint64_t target,
+                 int64_t now) {
+  d->list[d->next] = (pw_dark_request){fingerprint, target, now};
   d->next = (d->next + 1) % PWDARK_MAX;
 }
 
@@ -14,10 +16,10 @@
     pw_dark_request *r = &d->list[i];
     if (!r->at || r->target != target)
       continue;
-    int is_kept = now - r->at < KEPT_MS;
+    int is_recent = now - r->at < KEEP_MS;
     r->at = 0;
-    if (is_kept)
-      return r->sign;
+    if (is_recent)
+      return r->fingerprint;
   }
   return 0;
 }
--- a/packages/policy/pwdark.h
+++ b/packages/policy/pwdark.h
@@ -1,18 +1,21 @@
-/* pwdark.h: requests whose target said nothing any more, until it is known whether the target ended.
+/* pwdark.h: requests whose target became unresponsive, until it is known
+** whether the target crashed.
 **
-** Pure: time comes in as an argument. A request that takes long looks as one under which its target
-** hangs: nothing comes. That alone is held against nobody. It counts once control has missed the target's
-** heartbeats as well. */
+** Pure: time comes in as an argument. A request that takes long looks like one
+** that hangs its target: in both cases nothing arrives. This alone is not
+** counted as a crash; it is once control has missed the target's heartbeats as
+** well. */
 #ifndef PWDARK_H
 #define PWDARK_H
 
 #include <stdint.h>
 
-#define PWDARK_MAX 256 /* requests; one more takes the place of the oldest */
+#define PWDARK_MAX 256 /* requests kept; another one replaces the oldest */
 
 typedef struct pw_dark_request {
-  uint64_t sign, target; /* what it is, and the start of its target */
-  int64_t at;            /* when it was seen so last, ms; 0: none */
+  uint64_t fingerprint; /* of the request (pwsign) */
+  uint64_t target;      /* incarnation of its target */
+  int64_t at;           /* when the target became unresponsive, ms; 0: unused */
 } pw_dark_request;
 
 typedef struct pw_dark {
@@ -20,11 +23,12 @@
   int next;
 } pw_dark;
 
-/* A request was at a target that has gone dark. */
-void pwdark_note(pw_dark *d, uint64_t sign, uint64_t target, int64_t now);
+/* Notes a request that is at a target which became unresponsive. */
+void pwdark_note(pw_dark *d, uint64_t fingerprint, uint64_t target,
+                 int64_t now);
 
-/* The target is silent, or has ended: gives one of the requests that it had lately, which is not
-** given again; 0: there is none left. */
+/* For a target that missed its heartbeats or crashed: removes one of the recent
+** requests noted for it and returns its fingerprint; 0: none is left. */
 uint64_t pwdark_take(pw_dark *d, uint64_t target, int64_t now);
 
 #endif
--- a/packages/policy/pwquarantine.c
+++ b/packages/policy/pwquarantine.c
@@ -1,4 +1,4 @@
-/* pwquarantine.c: requests under which targets ended, and which are sent to none any more. */
+/* pwquarantine.c: requests that crash the targets which run them. */
 #include "pwquarantine.h"
 
 #include "pwbuf.h"
@@ -8,56 +8,66 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* News are told so often: with one datagram in ten lost, one of 100,000 news does not arrive. */
-#define TELLINGS 5
+/* How often a change is sent: with one datagram in ten lost, one change in
+** 100,000 does not arrive. */
+#define SENDS 5
 
-/* What is in quarantine is told so often, ms: an instance that starts knows it before it has been
-** in touch for the shortest time that anything is asked of it (3 s). */
+/* Interval in ms at which requests in quarantine are sent again. An instance
+** that starts knows them before it is given its first requests, after at least
+** 3 s. */
 #define REFRESH_MS 1000
 
-/* A request that was answered counts no ends for so long, ms: what callers ask alike comes again
-** within seconds. A request that ends targets since a new version is found so much later. */
+/* Time in ms after an answer in which no crash is counted: requests that
+** callers send alike are answered again within seconds. A request that crashes
+** targets only since a new version is detected that much later. */
 #define ANSWERED_MS 10000
 
-/* A request that was answered within PW_QUARANTINE_MS goes back after so long at first, ms, and twice as
-** long each time that it ends a target again: what many ask alike must not stay away for minutes after
-** a loss of all targets, and it is one more end each time if it is the cause since a new version. */
-#define KNOWN_MS 5000
+/* First quarantine in ms of a request that was answered within
+** PW_QUARANTINE_MS; it doubles each time the request crashes a target again. A
+** request that many callers send alike must not be refused for minutes after a
+** loss of all targets. If it is the cause after all, since a new version, each
+** time costs one more crash. */
+#define ANSWERED_HOLD_MS 5000
 
-#define ANSWERED_SLOTS 4096 /* requests that are remembered, a power of two */
+#define ANSWERED_SLOTS 4096 /* answered requests remembered; a power of two */
 
-/* Ends that are worth taking back at other instances: a single one is common, each end leaves it at all
-** that ran there, and it does nothing alone. */
-#define TAKE_BACK 2
+/* Crashes from which on an answer is announced to other instances. A single
+** crash is common, as each crash counts for all requests that the target was
+** running, and has no effect by itself. */
+#define TAKE_BACK_LEAST 2
 
-/* An end of the same start that is seen so much later, ms, is another: instances see one within the
-** time in which a silent connection is given up (1.5 s). */
+/* A crash of the same incarnation that is seen this many ms later is another
+** crash. All instances see one crash within the time after which a silent
+** connection is closed (1.5 s). */
 #define AGAIN_MS 2000
 
-/* Requests that are kept: an end leaves one for each that ran there, at most 64; 30 ends at once. */
+/* Most cases kept: a crash makes one for each request that the target was
+** running, at most 64, so 30 simultaneous crashes fit. */
 #define CASES_MAX 2048
 
-/* A request under which targets ended, or which was answered after that. */
+/* A request that was running at targets when they crashed, or that was answered
+** after that. */
 typedef struct quar_case {
-  pw_quar_row row; /* but for its age */
-  int64_t at;      /* of the newest end, or of the answer, ms */
-  int64_t held_at; /* since when it is in quarantine, ms; 0: it is not ... */
-  int64_t hold_ms; /* ... and for how long */
-  int holds;       /* quarantines that are over, since it was answered */
-  int told;
-  int64_t told_at;
+  pw_quar_row row; /* without its age */
+  int64_t at;      /* time of the newest crash, or of the answer, ms */
+  int64_t held_at; /* start of its quarantine, ms; 0: not in quarantine */
+  int64_t hold_ms; /* length of its quarantine */
+  int holds;       /* quarantines that have ended since it was answered */
+  int sends;       /* how often the newest change was sent */
+  int64_t sent_at;
   UT_hash_handle hh;
 } quar_case;
 
+/* When a request was last answered with success. */
 typedef struct answered {
-  uint64_t sign;
+  uint64_t fingerprint;
   int64_t at;
 } answered;
 
 struct pw_quarantine {
   quar_case *cases;
-  int held;
-  int nnews; /* cases that are news: told less than TELLINGS times */
+  int held;    /* cases in quarantine */
+  int nunsent; /* cases whose newest change was sent less than SENDS times */
   int64_t total;
   answered answered[ANSWERED_SLOTS];
 };
@@ -68,7 +78,7 @@
 
 static void drop(pw_quarantine *q, quar_case *c) {
   q->held -= c->held_at != 0;
-  q->nnews -= c->told < TELLINGS;
+  q->nunsent -= c->sends < SENDS;
   HASH_DEL(q->cases, c);
   free(c);
 }
@@ -83,13 +93,13 @@
   free(q);
 }
 
-static quar_case *find(const pw_quarantine *q, uint64_t sign) {
+static quar_case *find(const pw_quarantine *q, uint64_t fingerprint) {
   quar_case *c;
-  HASH_FIND(hh, q->cases, &sign, sizeof sign, c);
+  HASH_FIND(hh, q->cases, &fingerprint, sizeof fingerprint, c);
   return c;
 }
 
-/* The oldest gives way; what is in quarantine stays, unless there is nothing else. */
+/* Drops the oldest case that is not in quarantine; without one, the oldest. */
 static void make_room(pw_quarantine *q) {
   if (HASH_COUNT(q->cases) < CASES_MAX)
     return;
@@ -99,41 +109,42 @@
   drop(q, c ? c : q->cases);
 }
 
-static quar_case *add(pw_quarantine *q, uint64_t sign) {
+static quar_case *add(pw_quarantine *q, uint64_t fingerprint) {
   make_room(q);
   quar_case *c = pw_alloc(sizeof *c);
-  c->row.sign = sign;
-  q->nnews++;
+  c->row.sign = fingerprint;
+  q->nunsent++;
   HASH_ADD(hh, q->cases, row.sign, sizeof c->row.sign, c);
   return c;
 }
 
 /* --- answers --- */
 
-static answered *slot_of(pw_quarantine *q, uint64_t sign) {
-  return &q->answered[sign & (ANSWERED_SLOTS - 1)];
+static answered *slot_of(pw_quarantine *q, uint64_t fingerprint) {
+  return &q->answered[fingerprint & (ANSWERED_SLOTS - 1)];
 }
 
-static int was_answered(pw_quarantine *q, uint64_t sign, int64_t now) {
-  const answered *a = slot_of(q, sign);
-  return a->sign == sign && now - a->at < ANSWERED_MS;
+static int was_answered(pw_quarantine *q, uint64_t fingerprint, int64_t now) {
+  const answered *a = slot_of(q, fingerprint);
+  return a->fingerprint == fingerprint && now - a->at < ANSWERED_MS;
 }
 
-/* How long it is in quarantine when it comes there after so many times. */
-static int64_t hold_of(pw_quarantine *q, uint64_t sign, int holds,
+/* Length of the next quarantine, after `holds` of them since its answer. */
+static int64_t hold_of(pw_quarantine *q, uint64_t fingerprint, int holds,
                        int64_t now) {
-  const answered *a = slot_of(q, sign);
-  if (a->sign != sign || now - a->at >= PW_QUARANTINE_MS)
+  const answered *a = slot_of(q, fingerprint);
+  if (a->fingerprint != fingerprint || now - a->at >= PW_QUARANTINE_MS)
     return PW_QUARANTINE_MS;
-  int64_t ms = KNOWN_MS;
+  int64_t ms = ANSWERED_HOLD_MS;
   for (int i = 0; i < holds && ms < PW_QUARANTINE_MS; i++)
     ms *= 2;
   return ms < PW_QUARANTINE_MS ? ms : PW_QUARANTINE_MS;
 }
 
-static void make_news(pw_quarantine *q, quar_case *c) {
-  q->nnews += c->told >= TELLINGS;
-  c->told = 0;
+/* Has the case sent to the other instances from the beginning. */
+static void mark_changed(pw_quarantine *q, quar_case *c) {
+  q->nunsent += c->sends >= SENDS;
+  c->sends = 0;
 }
 
 static void release(pw_quarantine *q, quar_case *c, int64_t at) {
@@ -142,15 +153,17 @@
   c->held_at = 0;
   c->row.n = 0;
   c->at = at;
-  make_news(q, c);
+  mark_changed(q, c);
 }
 
-/* It was answered at `at`: ends before that are taken back, at other instances too if there are several. */
-static pw_quar_news take_back(pw_quarantine *q, uint64_t sign, int64_t at) {
-  quar_case *c = find(q, sign);
+/* It was answered at `at`: the crashes before that are taken back, at other
+** instances as well if there are several. */
+static pw_quar_news take_back(pw_quarantine *q, uint64_t fingerprint,
+                              int64_t at) {
+  quar_case *c = find(q, fingerprint);
   if (!c || c->row.n == 0)
     return PWQUAR_OLD;
-  if (c->row.n < TAKE_BACK) {
+  if (c->row.n < TAKE_BACK_LEAST) {
     drop(q, c);
     return PWQUAR_OLD;
   }
@@ -159,12 +172,13 @@
   return was_held ? PWQUAR_RELEASED : PWQUAR_OLD;
 }
 
-pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t sign, int64_t now) {
-  *slot_of(q, sign) = (answered){sign, now};
-  return take_back(q, sign, now);
+pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
+                             int64_t now) {
+  *slot_of(q, fingerprint) = (answered){fingerprint, now};
+  return take_back(q, fingerprint, now);
 }
 
-/* --- ends --- */
+/* --- crashes --- */
 
 static int has_target(const pw_quar_row *row, uint64_t target) {
   for (int i = 0; i < row->n; i++)
@@ -173,16 +187,17 @@
   return 0;
 }
 
-/* Counts a target that was not counted; gives whether it was. */
-static int count(pw_quarantine *q, quar_case *c, uint64_t target) {
+/* Counts a crash unless it was counted before; returns whether it was new. */
+static int count_crash(pw_quarantine *q, quar_case *c, uint64_t target) {
   if (c->row.n == PW_QUARANTINE_ENDS || has_target(&c->row, target))
     return 0;
   c->row.target[c->row.n++] = target;
-  make_news(q, c);
+  mark_changed(q, c);
   return 1;
 }
 
-static pw_quar_news hold(pw_quarantine *q, quar_case *c, int64_t at) {
+/* Puts the request in quarantine if enough targets have crashed. */
+static pw_quar_news check_hold(pw_quarantine *q, quar_case *c, int64_t at) {
   if (c->row.n < PW_QUARANTINE_ENDS || c->held_at)
     return PWQUAR_ENDED;
   c->held_at = at;
@@ -191,48 +206,49 @@
   return PWQUAR_BEGUN;
 }
 
-/* How this end is told apart; the same at every instance that knows of those before it. */
-static uint64_t name_of_end(const quar_case *c, uint64_t target, int64_t now) {
+/* Id of this crash; the same at every instance that knows of the crashes before
+** it. */
+static uint64_t id_of_crash(const quar_case *c, uint64_t target, int64_t now) {
   if (!has_target(&c->row, target) || now - c->at < AGAIN_MS)
     return target;
   uint64_t both[2] = {target, (uint64_t)c->row.n};
   return XXH3_64bits(both, sizeof both);
 }
 
-pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t sign, uint64_t target,
-                          int64_t now) {
-  assert(sign);
-  if (was_answered(q, sign, now))
+pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t fingerprint,
+                          uint64_t target, int64_t now) {
+  assert(fingerprint);
+  if (was_answered(q, fingerprint, now))
     return PWQUAR_OLD;
-  quar_case *c = find(q, sign);
+  quar_case *c = find(q, fingerprint);
   if (!c)
-    c = add(q, sign);
-  if (!count(q, c, name_of_end(c, target, now)))
+    c = add(q, fingerprint);
+  if (!count_crash(q, c, id_of_crash(c, target, now)))
     return PWQUAR_OLD;
   q->total++;
   c->at = now;
-  return hold(q, c, now);
+  return check_hold(q, c, now);
 }
 
-int64_t pwquar_left(const pw_quarantine *q, uint64_t sign, int64_t now) {
+int64_t pwquar_left(const pw_quarantine *q, uint64_t fingerprint, int64_t now) {
   if (!q->held)
     return 0;
-  const quar_case *c = find(q, sign);
+  const quar_case *c = find(q, fingerprint);
   if (!c || !c->held_at)
     return 0;
   int64_t left = c->held_at + c->hold_ms - now;
   return left > 0 ? left : 0;
 }
 
-int pwquar_ends(const pw_quarantine *q, uint64_t sign) {
-  const quar_case *c = find(q, sign);
+int pwquar_ends(const pw_quarantine *q, uint64_t fingerprint) {
+  const quar_case *c = find(q, fingerprint);
   return c ? c->row.n : 0;
 }
 
-/* --- telling --- */
+/* --- updates between instances --- */
 
 static int is_due(const quar_case *c, int64_t now) {
-  return c->told < TELLINGS || (c->held_at && now - c->told_at >= REFRESH_MS);
+  return c->sends < SENDS || (c->held_at && now - c->sent_at >= REFRESH_MS);
 }
 
 static pw_quar_row row_of(const quar_case *c, int64_t now) {
@@ -241,25 +257,26 @@
   return row;
 }
 
-static void tell(pw_quarantine *q, quar_case *c, pw_quar_row *row,
-                 int64_t now) {
+static void send_row(pw_quarantine *q, quar_case *c, pw_quar_row *row,
+                     int64_t now) {
   *row = row_of(c, now);
-  c->told_at = now;
-  if (c->told >= TELLINGS)
+  c->sent_at = now;
+  if (c->sends >= SENDS)
     return;
-  c->told++;
-  q->nnews -= c->told == TELLINGS;
+  c->sends++;
+  q->nunsent -= c->sends == SENDS;
 }
 
-/* Those told least come first, so that many that ended together do not keep news waiting. */
+/* Cases sent least often come first, so that a large number of simultaneous
+** crashes does not delay newer changes. */
 size_t pwquar_tell(pw_quarantine *q, pw_quar_row *row, int64_t now) {
   size_t n = 0;
-  if (!q->nnews && !q->held)
+  if (!q->nunsent && !q->held)
     return 0;
-  for (int told = 0; told <= TELLINGS && n < PWQUAR_ROWS; told++)
+  for (int sends = 0; sends <= SENDS && n < PWQUAR_ROWS; sends++)
     for (quar_case *c = q->cases; c && n < PWQUAR_ROWS; c = c->hh.next)
-      if (c->told == told && c->told_at < now && is_due(c, now))
-        tell(q, c, &row[n++], now);
+      if (c->sends == sends && c->sent_at < now && is_due(c, now))
+        send_row(q, c, &row[n++], now);
   return n;
 }
 
@@ -277,21 +294,21 @@
   return n;
 }
 
-/* Another instance saw it answered. */
-static pw_quar_news hear_answer(pw_quarantine *q, const pw_quar_row *row,
-                                int64_t now) {
+/* Takes in an answer that another instance saw. */
+static pw_quar_news receive_answer(pw_quarantine *q, const pw_quar_row *row,
+                                   int64_t now) {
   answered *a = slot_of(q, row->sign);
-  if (a->sign != row->sign || a->at < now - row->age_ms)
+  if (a->fingerprint != row->sign || a->at < now - row->age_ms)
     *a = (answered){row->sign, now - row->age_ms};
   return take_back(q, row->sign, now - row->age_ms);
 }
 
-/* Whoever told of ends is told that it was answered here. */
-static void contradict(pw_quarantine *q, uint64_t sign) {
-  quar_case *c = find(q, sign);
+/* Announces that the request was answered here, against a row with crashes. */
+static void contradict(pw_quarantine *q, uint64_t fingerprint) {
+  quar_case *c = find(q, fingerprint);
   if (!c)
-    c = add(q, sign);
-  release(q, c, slot_of(q, sign)->at);
+    c = add(q, fingerprint);
+  release(q, c, slot_of(q, fingerprint)->at);
 }
 
 pw_quar_news pwquar_hear(pw_quarantine *q, const pw_quar_row *row,
@@ -300,9 +317,9 @@
       row->age_ms < 0 || row->age_ms >= PW_QUARANTINE_MS)
     return PWQUAR_OLD;
   if (row->n == 0)
-    return hear_answer(q, row, now);
+    return receive_answer(q, row, now);
   if (was_answered(q, row->sign, now)) {
-    if (row->n >= TAKE_BACK)
+    if (row->n >= TAKE_BACK_LEAST)
       contradict(q, row->sign);
     return PWQUAR_OLD;
   }
@@ -310,30 +327,31 @@
   int holds = c ? c->holds : 0;
   if (row->n == PW_QUARANTINE_ENDS &&
       row->age_ms >= hold_of(q, row->sign, holds ? holds - 1 : 0, now))
-    return PWQUAR_OLD; /* it is over here */
+    return PWQUAR_OLD; /* that quarantine has ended here */
   if (!c)
     c = add(q, row->sign);
-  int more = 0;
+  int added = 0;
   for (int i = 0; i < row->n; i++)
-    more += count(q, c, row->target[i]);
-  if (!more)
+    added += count_crash(q, c, row->target[i]);
+  if (!added)
     return PWQUAR_OLD;
-  q->total += more;
+  q->total += added;
   c->at = now - row->age_ms;
-  return hold(q, c, row->n == PW_QUARANTINE_ENDS ? now - row->age_ms : now);
+  return check_hold(q, c,
+                    row->n == PW_QUARANTINE_ENDS ? now - row->age_ms : now);
 }
 
 /* --- upkeep --- */
 
-/* Over: it may run again, and one more end is enough. */
+/* The request may run again, and one more crash begins the next quarantine. */
 static void end_quarantine(pw_quarantine *q, quar_case *c, int64_t now) {
   q->held--;
   c->held_at = 0;
   c->holds++;
   c->row.n = PW_QUARANTINE_ENDS - 1;
   c->at = now;
-  q->nnews -= c->told < TELLINGS;
-  c->told = TELLINGS;
+  q->nunsent -= c->sends < SENDS;
+  c->sends = SENDS;
 }
 
 void pwquar_tick(pw_quarantine *q, int64_t now) {
--- a/packages/policy/pwquarantine.h
+++ b/packages/policy/pwquarantine.h
@@ -1,13 +1,18 @@
-/* pwquarantine.h: requests under which targets ended, and which are sent to none any more.
+/* pwquarantine.h: requests that crash the targets which run them; such a
+** request is put in quarantine and sent to no target.
 **
-** Pure: time comes in as an argument. Answers this load: a request ends each target that begins to
-** run it, and comes again under a new id, at any instance, up to ten times a second, between the
-** usual requests, of which each end takes some with it. Every instance counts the targets that
-** ended under a request, tells the others, and from PW_QUARANTINE_ENDS on sends it nowhere.
+** Pure: time comes in as an argument. Prevents this failure: a request crashes
+** every target that begins to run it and is sent again under a new id, at any
+** instance, up to ten times a second among the normal requests; each crash
+** takes some of those with it. Every instance counts the targets that crashed
+** while running a request, announces them to the others, and sends the request
+** nowhere from PW_QUARANTINE_ENDS crashes on.
 **
-** A request that a target answered with success is not the cause: an answer takes back all ends before it, at
-** every instance, and for a while ends are not counted. So what many callers ask alike, a state for
-** example, stays out when several targets that have it end at once for another reason. */
+** A request that a target answered with success is not the cause. An answer
+** takes back all crashes counted before it, at every instance, and for a while
+** no crash is counted. So a request that many callers send alike, such as a
+** status query, stays out of quarantine when several targets running it crash
+** at the same time for another reason. */
 #ifndef PWQUARANTINE_H
 #define PWQUARANTINE_H
 
@@ -16,62 +21,69 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define PWQUAR_ROWS 8 /* of one telling: 8 of 45 bytes fit any datagram */
+#define PWQUAR_ROWS 8 /* in one update: 8 rows of 45 bytes fit any datagram */
 
 typedef struct pw_quarantine pw_quarantine;
 
+/* What a call changed. */
 typedef enum pw_quar_news {
-  PWQUAR_OLD,     /* nothing that was not known */
-  PWQUAR_ENDED,   /* another target has ended under it */
-  PWQUAR_BEGUN,   /* ... and it is in quarantine from now on */
-  PWQUAR_RELEASED /* it was, and is not the cause after all */
+  PWQUAR_OLD,     /* nothing: it was known before */
+  PWQUAR_ENDED,   /* another target has crashed while running the request */
+  PWQUAR_BEGUN,   /* ... and the request is in quarantine from now on */
+  PWQUAR_RELEASED /* it was in quarantine, and is not the cause after all */
 } pw_quar_news;
 
-/* What is told of one request. */
+/* The state of one request in an update. */
 typedef struct pw_quar_row {
-  uint64_t sign;                       /* pwsign_of */
-  uint64_t target[PW_QUARANTINE_ENDS]; /* starts of targets that ended */
+  uint64_t sign;                       /* fingerprint, by pwsign_of */
+  uint64_t target[PW_QUARANTINE_ENDS]; /* incarnations that crashed */
   int n;                               /* of them; 0: it was answered */
-  int64_t age_ms; /* of the quarantine, or else of its newest end */
+  int64_t age_ms; /* of the quarantine, else of its newest crash or answer */
 } pw_quar_row;
 
 pw_quarantine *pwquar_new(void);
 void pwquar_free(pw_quarantine *q);
 
-/* A target ended while it had the request. `target` names one start of it, the same at every
-** instance. One that has started again before anything was heard of it ends again under the same
-** name, some time later. */
-pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t sign, uint64_t target,
-                          int64_t now);
+/* A target crashed while it was running the request. `target` identifies its
+** incarnation, the same at every instance. A target that restarts and crashes
+** again before any heartbeat of its new incarnation is reported with the same
+** id, some time later. */
+pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t fingerprint,
+                          uint64_t target, int64_t now);
 
-/* A target answered it with success. */
-pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t sign, int64_t now);
+/* A target answered the request with success. */
+pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
+                             int64_t now);
 
-/* Ms that it is in quarantine yet; 0: it is not. */
-int64_t pwquar_left(const pw_quarantine *q, uint64_t sign, int64_t now);
+/* Remaining ms in quarantine; 0: it is not in quarantine. */
+int64_t pwquar_left(const pw_quarantine *q, uint64_t fingerprint, int64_t now);
 
-/* Targets that are known to have ended under it. */
-int pwquar_ends(const pw_quarantine *q, uint64_t sign);
+/* Number of targets known to have crashed while running the request. */
+int pwquar_ends(const pw_quarantine *q, uint64_t fingerprint);
 
-/* What is due to be told to other instances, at most PWQUAR_ROWS; gives how many. News are told
-** some times, since a datagram may be lost; what is in quarantine once a second, for who has
-** started anew. */
+/* Fills in the rows that are due to be sent to other instances, at most
+** PWQUAR_ROWS, and returns their number. A change is sent several times, since
+** datagrams get lost. What is in quarantine is sent once a second, for
+** instances that have just started. */
 size_t pwquar_tell(pw_quarantine *q, pw_quar_row *row, int64_t now);
 
-/* What is in quarantine here or was released lately, whatever was told of it: at most PWQUAR_ROWS of
-** them, the next ones with the next call; *at begins at 0. Gives how many. */
+/* Lists all requests that are in quarantine or were released recently, whether
+** due or not, PWQUAR_ROWS a call; the next call continues. *at begins at 0.
+** Returns the number of rows. */
 size_t pwquar_list(const pw_quarantine *q, size_t *at, pw_quar_row *row,
                    int64_t now);
 
-/* Another instance told. */
+/* Takes in a row from another instance. */
 pw_quar_news pwquar_hear(pw_quarantine *q, const pw_quar_row *row, int64_t now);
 
-/* Forgets what is old. Requests whose quarantine is over may run again; one more end begins it
-** anew. */
+/* Ends quarantines and drops old cases. A request whose quarantine is over may
+** run again; one more crash begins the next quarantine. */
 void pwquar_tick(pw_quarantine *q, int64_t now);
 
-/* Requests in quarantine, and ends that were counted so far. */
+/* Number of requests in quarantine. */
 int pwquar_count(const pw_quarantine *q);
+
+/* Number of crashes counted so far. */
 int64_t pwquar_total(const pw_quarantine *q);
 
 #endif
--- a/packages/policy/pwsign.c
+++ b/packages/policy/pwsign.c
@@ -1,4 +1,4 @@
-/* pwsign.c: what a request is, whichever id, instance or connection it comes with. */
+/* pwsign.c: fingerprint of a request. */
 #include "pwsign.h"
 
 #include <string.h>
@@ -13,6 +13,6 @@
   uint64_t part[] = {hash_of((pw_span){workspace, strlen(workspace)}),
                      hash_of((pw_span){method, strlen(method)}), hash_of(path),
                      hash_of(body)};
-  uint64_t sign = XXH3_64bits(part, sizeof part);
-  return sign ? sign : 1;
+  uint64_t fingerprint = XXH3_64bits(part, sizeof part);
+  return fingerprint ? fingerprint : 1;
 }
--- a/packages/policy/pwsign.h
+++ b/packages/policy/pwsign.h
@@ -1,4 +1,5 @@
-/* pwsign.h: what a request is, whichever id, instance or connection it comes with. */
+/* pwsign.h: fingerprint of a request, independent of the id, instance or
+** connection that it arrives with. */
 #ifndef PWSIGN_H
 #define PWSIGN_H
 
@@ -6,9 +7,9 @@
 
 #include <stdint.h>
 
-/* The same for two requests whose caller's workspace, method, path and body are the same, else
-** most likely another; never 0. It is no secret and proves nothing: whoever has a workspace's key
-** could find two requests that share one, of that workspace alone. */
+/* Hash of the caller's workspace, method, path and body; never 0. It is not
+** cryptographic: whoever holds a workspace's key could construct two requests
+** of that workspace with the same fingerprint. */
 uint64_t pwsign_of(const char *workspace, const char *method, pw_span path,
                    pw_span body);
 
