--- a/packages/policy/pwmesh.c
+++ b/packages/policy/pwmesh.c
@@ -1,4 +1,4 @@
-/* pwmesh.c: which control instances tell each other of targets. */
+/* pwmesh.c: which control instances exchange updates on targets. */
 #include "pwmesh.h"
 
 #include "pwbuf.h"
@@ -10,7 +10,7 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_MEMBERS_ONLY = 44 /* what observers hear is not asked for */
+  MUT_MEMBERS_ONLY = 44 /* members do not watch observers */
 };
 
 void pwmesh_init(pw_mesh *m, const char *self) {
@@ -59,7 +59,7 @@
     return NULL;
   pw_mesh_peer *p = peer_of(m, addr, now);
   if (p && is_for_all)
-    p->hears_at = now;
+    p->watched_at = now;
   return p;
 }
 
@@ -90,7 +90,7 @@
 
 int pwmesh_is_heard(const pw_mesh *m, int64_t now) {
   for (int i = 0; i < m->n; i++)
-    if (m->peer[i]->hears_at && now - m->peer[i]->hears_at < PWMESH_DEAF_MS)
+    if (m->peer[i]->watched_at && now - m->peer[i]->watched_at < PWMESH_DEAF_MS)
       return 1;
   return 0;
 }
--- a/packages/policy/pwmesh.h
+++ b/packages/policy/pwmesh.h
@@ -1,11 +1,12 @@
-/* pwmesh.h: which control instances tell each other of targets, and what of it another one
-** surely has.
+/* pwmesh.h: which control instances exchange updates on targets, and which of
+** its updates another instance has for certain.
 **
-** Pure: time comes in as an argument. Answers this load: any number of control instances are
-** called by targets, while the group that orders stays small. Members of the group tell each
-** other and gateways; an instance outside of it (an observer) tells all members what it hears,
-** and is told who they are. So what is sent grows with observers times members, and an
-** observer is nobody's only source. */
+** Pure: time comes in as an argument. It lets targets call any number of
+** control instances while the consensus group stays small. Members of the
+** group send updates to each other and to gateways. An instance outside of the
+** group (an observer) sends what its targets report to all members, and is
+** sent the list of members. So the traffic grows with observers times members,
+** and no receiver depends on an observer alone. */
 #ifndef PWMESH_H
 #define PWMESH_H
 
@@ -14,28 +15,29 @@
 
 #include <stdint.h>
 
-/* Another control instance is dropped when nothing has named it for so long, ms. */
+/* A peer is dropped when nothing has named it for this time, ms. */
 #define PWMESH_FORGET_MS 20000
 
-/* Who has not watched for so long does not hear this one, ms. */
+/* A peer that has not sent a watch for this time does not receive updates from
+** this instance, ms. */
 #define PWMESH_DEAF_MS 2500
 
-/* How one instance watches another. */
+/* What one instance watches another for. */
 typedef enum pw_mesh_watch {
   PWMESH_NOT,
-  PWMESH_FOR_LISTS, /* to be told who the members are */
-  PWMESH_FOR_ALL    /* to be told of all targets */
+  PWMESH_FOR_LISTS, /* the list of the members */
+  PWMESH_FOR_ALL    /* updates on all targets */
 } pw_mesh_watch;
 
 /* Another control instance. */
 typedef struct pw_mesh_peer {
   char addr[PW_NAME_MAX];
-  int is_member; /* of the group, as far as is known here */
-  int64_t named_at;
-  int64_t hears_at; /* when it last asked to be told all; 0: never */
-  uint64_t holds;   /* it has all that was told here up to this number */
-  pw_telling told;  /* what has come of it */
-  int64_t asked_at; /* when it was watched last, ms */
+  int is_member;      /* of the consensus group, as far as is known here */
+  int64_t named_at;   /* when it was last named, ms */
+  int64_t watched_at; /* when it last watched for all updates, ms; 0: never */
+  uint64_t holds;   /* it has all updates of this instance up to this number */
+  pw_telling told;  /* which of its updates have arrived here */
+  int64_t asked_at; /* when this instance last sent it a watch, ms */
 } pw_mesh_peer;
 
 typedef struct pw_mesh {
@@ -48,26 +50,29 @@
 void pwmesh_init(pw_mesh *m, const char *self);
 void pwmesh_free(pw_mesh *m);
 
-/* The group's members as known here, and whether this instance is one of them. */
+/* Sets the group's members as known here, and whether this instance is one. */
 void pwmesh_group(pw_mesh *m, char (*addr)[PW_NAME_MAX], int n, int is_member,
                   int64_t now);
 
-/* Another control instance watches this one. NULL: as many as there may be are known. */
+/* Another control instance watches this one. NULL: it is this instance itself,
+** or the table of peers is full. */
 pw_mesh_peer *pwmesh_watched(pw_mesh *m, const char *addr, int is_for_all,
                              int64_t now);
 
-/* Drops peers that nothing names any more. */
+/* Drops peers that were not named for PWMESH_FORGET_MS. */
 void pwmesh_tick(pw_mesh *m, int64_t now);
 
+/* What this instance is to watch the peer for. */
 pw_mesh_watch pwmesh_watch_of(const pw_mesh *m, const pw_mesh_peer *p);
 
-/* Up to which number all that was told here is at another instance, too. */
+/* The sequence number up to which at least one peer has all updates of this
+** instance. */
 uint64_t pwmesh_held(const pw_mesh *m);
 
-/* Whether another instance hears this one. */
+/* Whether at least one peer receives all updates of this instance. */
 int pwmesh_is_heard(const pw_mesh *m, int64_t now);
 
-/* How many observers are known. */
+/* Number of known observers, this instance included if it is one. */
 int pwmesh_observers(const pw_mesh *m);
 
 #endif
--- a/packages/policy/pwspread.c
+++ b/packages/policy/pwspread.c
@@ -1,12 +1,14 @@
-/* pwspread.c: who hands a new document to whom, when all want it at once. */
+/* pwspread.c: peer-to-peer distribution of a new document. */
 #include "pwspread.h"
 
 #include <assert.h>
 
-#define DOUBLINGS_MAX 3 /* of the patience with a receiver: 3.2 s at most */
+/* Most doublings of the time after which a receiver is served again: 3.2 s. */
+#define DOUBLINGS_MAX 3
 
-/* How long what it was served may be under way, ms: longer each time. */
-static int64_t patience(const pw_spread_place *p) {
+/* Time in ms after which a document counts as lost on its way to the receiver;
+** it grows with each loss. */
+static int64_t timeout_of(const pw_spread_place *p) {
   int times = p->failed < DOUBLINGS_MAX ? p->failed : DOUBLINGS_MAX;
   return (int64_t)PW_SPREAD_SERVE_MS << times;
 }
@@ -16,7 +18,7 @@
     p->wants_at = now;
     p->served_at = 0;
     p->failed = 0;
-  } else if (p->served_at && now - p->served_at >= patience(p)) {
+  } else if (p->served_at && now - p->served_at >= timeout_of(p)) {
     p->served_at = 0;
     p->failed++;
   }
@@ -25,10 +27,10 @@
 void pwspread_holds(pw_spread_place *p, uint64_t version, uint64_t newest,
                     pw_spread_place *const *all, size_t n) {
   if (version != p->holds) {
-    for (size_t i = 0; p->giver && i < n; i++)
-      if (all[i]->id == p->giver)
+    for (size_t i = 0; p->source && i < n; i++)
+      if (all[i]->id == p->source)
         all[i]->busy_until = 0;
-    p->giver = 0;
+    p->source = 0;
     p->served_at = 0;
   }
   p->holds = version;
@@ -36,10 +38,11 @@
     p->wants_at = 0;
 }
 
-/* Whether one that was failed is being served again. Answers that take longer than usual take so
-** for all: one copy more shows whether anything was lost. */
-static int is_one_tried_again(pw_spread_place *const *all, size_t n,
-                              int64_t now) {
+/* Whether a receiver that got nothing is being served again. Answers that are
+** slow for one are slow for all, so one more copy shows whether anything was
+** lost. */
+static int is_any_served_again(pw_spread_place *const *all, size_t n,
+                               int64_t now) {
   for (size_t i = 0; i < n; i++) {
     const pw_spread_place *p = all[i];
     if (p->failed && p->wants_at && p->served_at &&
@@ -52,10 +55,10 @@
 pw_spread_place *pwspread_first(pw_spread_place *const *all, size_t n,
                                 int64_t now) {
   pw_spread_place *best = NULL;
-  int is_again = is_one_tried_again(all, n, now);
+  int is_any_again = is_any_served_again(all, n, now);
   for (size_t i = 0; i < n; i++) {
     pw_spread_place *p = all[i];
-    if (!p->wants_at || p->served_at || (p->failed && is_again))
+    if (!p->wants_at || p->served_at || (p->failed && is_any_again))
       continue;
     if (!best || p->wants_at < best->wants_at)
       best = p;
@@ -63,8 +66,8 @@
   return best;
 }
 
-/* The one whose last turn is the longest past. */
-static pw_spread_place *free_holder(const pw_spread_place *to,
+/* The free source that has been idle longest. */
+static pw_spread_place *free_source(const pw_spread_place *to,
                                     pw_spread_place *const *all, size_t n,
                                     uint64_t newest, int64_t now) {
   pw_spread_place *best = NULL;
@@ -82,17 +85,17 @@
                                 pw_spread_place *const *all, size_t n,
                                 uint64_t newest, size_t bytes, int has_room,
                                 int64_t now, int *own) {
-  pw_spread_place *holder = NULL;
+  pw_spread_place *source = NULL;
   if (!to->failed && bytes > PW_SPREAD_SMALL)
-    holder = free_holder(to, all, n, newest, now);
-  *own = !holder && has_room;
-  return holder;
+    source = free_source(to, all, n, newest, now);
+  *own = !source && has_room;
+  return source;
 }
 
-void pwspread_serve(pw_spread_place *to, pw_spread_place *giver, int64_t now) {
-  assert(to->wants_at && to != giver);
+void pwspread_serve(pw_spread_place *to, pw_spread_place *source, int64_t now) {
+  assert(to->wants_at && to != source);
   to->served_at = now;
-  to->giver = giver ? giver->id : 0;
-  if (giver)
-    giver->busy_until = now + PW_SPREAD_SERVE_MS;
+  to->source = source ? source->id : 0;
+  if (source)
+    source->busy_until = now + PW_SPREAD_SERVE_MS;
 }
--- a/packages/policy/pwtelling.c
+++ b/packages/policy/pwtelling.c
@@ -1,17 +1,18 @@
-/* pwtelling.c: whether all that another instance has told has come here. */
+/* pwtelling.c: gap detection over the sequenced updates of one sender. */
 #include "pwtelling.h"
 
 #ifndef PW_MUTATION
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_NO_GAP = 40,    /* a number that is missing is not missed */
-  MUT_NO_LAST = 41,   /* what was lost last is not missed */
-  MUT_OLD_TABLE = 42, /* a table closes a gap after it, too */
-  MUT_SAME_LIFE = 43  /* numbers go on through a restart */
+  MUT_NO_GAP = 40,    /* a gap in the numbers is not noticed */
+  MUT_NO_LAST = 41,   /* the loss of the newest update is not noticed */
+  MUT_OLD_TABLE = 42, /* a full state closes a gap after it as well */
+  MUT_SAME_LIFE = 43  /* numbers continue through a restart */
 };
 
-/* Everything that was told is here: with what came since, if that follows on. */
+/* Takes a full state. It leaves nothing missing unless there is a gap between
+** it and the updates that arrived already. */
 static void take_full(pw_telling *t, uint64_t number) {
   if (!t->is_whole && t->first > number + 1 && PW_MUTATION != MUT_OLD_TABLE)
     return;
@@ -20,7 +21,7 @@
   t->is_whole = 1;
 }
 
-static void take_news(pw_telling *t, uint64_t number) {
+static void take_update(pw_telling *t, uint64_t number) {
   if (number <= t->last)
     return;
   int follows = number == t->last + 1 || PW_MUTATION == MUT_NO_GAP;
@@ -38,7 +39,7 @@
   if (full)
     take_full(t, number);
   else if (has_news)
-    take_news(t, number);
+    take_update(t, number);
   else if (number > t->last && PW_MUTATION != MUT_NO_LAST)
     *t = (pw_telling){.life = life};
 }
--- a/packages/policy/pwtelling.h
+++ b/packages/policy/pwtelling.h
@@ -1,27 +1,31 @@
-/* pwtelling.h: whether all that another instance has told has come here.
+/* pwtelling.h: gap detection over the sequenced updates of one sender.
 **
-** Pure. Answers this load: a message between two instances that stay up can be lost
-** with its connection, and what it told is not told again. The sender numbers what it
-** tells, and names the last number with every message; who finds a number missing asks
-** for everything. */
+** Pure. A message between two running instances can be lost with its
+** connection, and its content is not sent again. So the sender numbers its
+** updates and names the newest number in every message; a receiver that misses
+** a number asks for the full state. */
 #ifndef PWTELLING_H
 #define PWTELLING_H
 
 #include <stdint.h>
 
-/* What has come of one sender. All 0: nothing. */
+/* What has arrived from one sender. All 0: nothing. */
 typedef struct pw_telling {
-  uint64_t life;        /* of the sender: numbers begin anew with it */
-  int is_whole;         /* nothing is missing up to `last` ... */
-  uint64_t first, last; /* ... or else these came one after another; 0: none */
+  uint64_t life; /* incarnation of the sender; its numbers restart with it */
+  int is_whole;  /* nothing is missing up to `last` */
+  /* Otherwise the updates from `first` to `last` arrived without a gap; 0:
+  ** none. */
+  uint64_t first, last;
 } pw_telling;
 
-/* A message of this life of the sender: one with news has this number, one without names
-** the last; `full`: it tells all that there was up to that number. */
+/* A message of this incarnation arrived. An update (has_news) has this
+** sequence number, a message without one names the newest number. With `full`
+** it contains the whole state up to that number. */
 void pwtelling_take(pw_telling *t, uint64_t life, uint64_t number, int has_news,
                     int full);
 
-/* Up to which number nothing is missing, of that life; 0: something may be. */
+/* The sequence number up to which nothing is missing, for the incarnation last
+** seen; 0: something may be missing. */
 uint64_t pwtelling_has(const pw_telling *t);
 
 #endif
