--- a/packages/policy/pwcanary.c
+++ b/packages/policy/pwcanary.c
@@ -1,4 +1,5 @@
-/* pwcanary.c: how the traffic of a service moves to targets of another version. */
+/* pwcanary.c: how the traffic of a service moves to targets of a new
+** version. */
 #include "pwcanary.h"
 
 #include <math.h>
@@ -8,35 +9,44 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_ALL_AT_ONCE = 50,   /* no trial before all of it */
-  MUT_NO_WAY_BACK = 51,   /* once it has all, it is never bad */
-  MUT_ONE_SUM = 52,       /* routes are not told apart */
-  MUT_NO_ROOM_ASKED = 53, /* it gets all, whatever its targets bear */
-  MUT_BACK_AGAIN = 54     /* what was reverted begins anew */
+  MUT_ALL_AT_ONCE = 50, /* no trial share before all requests */
+  MUT_NO_WAY_BACK = 51, /* a version with all requests is never reverted */
+  MUT_ONE_SUM = 52,     /* routes are summed up */
+  MUT_NO_ROOM_ASKED =
+      53,             /* it gets all requests, whatever its targets' slots */
+  MUT_BACK_AGAIN = 54 /* a reverted rollout begins again */
 };
 
-/* Parts of the time until all of it goes to the new version, and until it is complete:
-** what runs at old targets when they are stopped is cut, so there is time between. */
+/* Parts of the rollout's time: until then the share stays that of the first
+** stage (CANARY_PART); from then on a doubtful version is reverted
+** (LAST_PART); from then on the rollout can be complete (COMPLETE_PART).
+** Requests still running at old targets are cut off when these are stopped, so
+** there is time between all requests going to the new version and
+** completion. */
 #define CANARY_PART 0.65
 #define LAST_PART 0.85
 #define COMPLETE_PART 0.95
 
-#define TRIAL_MS                                                               \
-  600 /* most requests are over by then, and gateways have told of them */
+/* Least time at the trial share: most requests have ended by then and the
+** gateways have reported them. */
+#define TRIAL_MS 600
 
-/* The first share is at most this part of what a bad version may get: the rest is for what
-** goes there until all gateways know that it is bad. */
+/* The first share is at most this part of what a bad version may get. The rest
+** is for requests that go there until all gateways know that it is
+** reverted. */
 #define EXPOSE_PART 0.9
 
-/* Slots that the new targets need for all of it, as a part of the old ones'. */
+/* Slots that the new targets need to take all requests, as a part of the old
+** ones'. */
 #define ROOM_PART 0.8
 
-/* Answers that the old version's share of bad ones is taken to rest on already, and how many
-** of them were bad. */
+/* Prior of the old version's error rate: pseudo-counts of answers and of bad
+** ones among them. */
 #define PRIOR_ANSWERS 20.0
 #define PRIOR_BAD 1.0
 
-#define SLOW_TIMES 2.0
+#define SLOW_TIMES                                                             \
+  2.0 /* multiple of the baseline from which an answer is slow */
 
 static const char *const names[] = {"running", "complete", "reverted"};
 #define STATES (int)(sizeof names / sizeof names[0])
@@ -54,28 +64,28 @@
 
 /* --- evidence --- */
 
-/* What of the good answers may be bad ones with a worse version. */
+/* Shares of the otherwise good answers that a worse version fails. */
 static const double worse[] = {0.02, 0.05, 0.15, 0.4, 0.8};
 #define WORSE (int)(sizeof worse / sizeof worse[0])
 
-/* Averaged over how much worse: still a ratio of likelihoods. */
-static double ratio_of(double good, double bad, double usual) {
+/* The average over degrees of worse is a likelihood ratio as well. */
+static double ratio_of(double good, double bad, double baseline) {
   double sum = 0;
   for (int i = 0; i < WORSE; i++) {
-    double p = usual + worse[i] * (1 - usual);
-    sum += exp(bad * log(p / usual) + good * log((1 - p) / (1 - usual)));
+    double p = baseline + worse[i] * (1 - baseline);
+    sum += exp(bad * log(p / baseline) + good * log((1 - p) / (1 - baseline)));
   }
   return sum / WORSE;
 }
 
 static double route_ratio(const pw_canary_route *r) {
-  double usual =
+  double baseline =
       (r->bad_from + PRIOR_BAD) / (r->good_from + r->bad_from + PRIOR_ANSWERS);
-  return ratio_of(r->good_to, r->bad_to, usual);
+  return ratio_of(r->good_to, r->bad_to, baseline);
 }
 
-/* A route on which the old version is seen to be worse than on others would be taken for
-** a bad version where the mix of routes differs, so routes are never added up. */
+/* Routes are never summed up: where the two versions get a different mix of
+** routes, a route with more errors would be taken for a bad version. */
 static double mean_ratio(const pw_canary_route *route, int n) {
   double sum = 0;
   int seen = 0;
@@ -107,31 +117,31 @@
                                     : mean_ratio(route, n);
 }
 
-/* --- what comes next --- */
+/* --- decisions --- */
 
-static int first_share(const pw_canary_ask *ask) {
-  double allowed = EXPOSE_PART * ask->expose_share * PWCANARY_ALL;
+static int first_share(const pw_canary_ask *in) {
+  double allowed = EXPOSE_PART * in->expose_share * PWCANARY_ALL;
   return allowed < PWCANARY_SHARE ? (int)allowed : PWCANARY_SHARE;
 }
 
-static int has_room(const pw_canary_ask *ask) {
-  return ask->slots_to > 0 && (ask->slots_to >= ROOM_PART * ask->slots_from ||
-                               PW_MUTATION == MUT_NO_ROOM_ASKED);
+static int has_room(const pw_canary_ask *in) {
+  return in->slots_to > 0 && (in->slots_to >= ROOM_PART * in->slots_from ||
+                              PW_MUTATION == MUT_NO_ROOM_ASKED);
 }
 
-static int is_past(const pw_canary_ask *ask, double part) {
-  return (double)ask->elapsed_ms >= part * (double)ask->over_ms;
+static int is_past(const pw_canary_ask *in, double part) {
+  return (double)in->elapsed_ms >= part * (double)in->over_ms;
 }
 
-/* The share that it is to have now, where nothing speaks against it. */
-static int next_share(const pw_canary *c, const pw_canary_ask *ask) {
-  if (c->share < first_share(ask))
-    return ask->slots_to > 0 ? first_share(ask) : c->share;
-  if (!is_past(ask, CANARY_PART) || !has_room(ask))
+/* The share that a version is to have now, without evidence against it. */
+static int next_share(const pw_canary *c, const pw_canary_ask *in) {
+  if (c->share < first_share(in))
+    return in->slots_to > 0 ? first_share(in) : c->share;
+  if (!is_past(in, CANARY_PART) || !has_room(in))
     return c->share;
   if (c->share < PWCANARY_TRIAL_SHARE && PW_MUTATION != MUT_ALL_AT_ONCE)
     return PWCANARY_TRIAL_SHARE;
-  return ask->in_share_ms >= TRIAL_MS ? PWCANARY_ALL : c->share;
+  return in->in_share_ms >= TRIAL_MS ? PWCANARY_ALL : c->share;
 }
 
 static int revert(pw_canary *out) {
@@ -140,24 +150,23 @@
   return 1;
 }
 
-int pwcanary_next(const pw_canary *c, const pw_canary_ask *ask,
-                  pw_canary *out) {
+int pwcanary_next(const pw_canary *c, const pw_canary_ask *in, pw_canary *out) {
   *out = *c;
   if (c->state == PWCANARY_REVERTED && PW_MUTATION == MUT_BACK_AGAIN)
     out->state = PWCANARY_RUNNING;
   else if (c->state != PWCANARY_RUNNING)
     return 0;
-  double ratio = pwcanary_ratio(ask->route, ask->nroutes);
+  double ratio = pwcanary_ratio(in->route, in->nroutes);
   int is_all = c->share == PWCANARY_ALL;
   if (ratio >= PWCANARY_BAD && !(is_all && PW_MUTATION == MUT_NO_WAY_BACK))
     return revert(out);
   if (ratio >= PWCANARY_DOUBT && !is_all)
-    return is_past(ask, LAST_PART) ? revert(out) : 0;
-  if (is_all && is_past(ask, COMPLETE_PART) && has_room(ask)) {
+    return is_past(in, LAST_PART) ? revert(out) : 0;
+  if (is_all && is_past(in, COMPLETE_PART) && has_room(in)) {
     out->state = PWCANARY_COMPLETE;
     return 1;
   }
-  out->share = next_share(c, ask);
+  out->share = next_share(c, in);
   return out->share != c->share;
 }
 
@@ -166,6 +175,6 @@
          hash % PWCANARY_ALL < (uint64_t)(share > 0 ? share : 0);
 }
 
-int pwcanary_is_slow(double ms, double usual_ms) {
-  return usual_ms > 0 && ms > SLOW_TIMES * usual_ms;
+int pwcanary_is_slow(double ms, double baseline_ms) {
+  return baseline_ms > 0 && ms > SLOW_TIMES * baseline_ms;
 }
--- a/packages/policy/pwholdoff.c
+++ b/packages/policy/pwholdoff.c
@@ -1,4 +1,5 @@
-/* pwholdoff.c: how long a target that asked to be left alone is left alone. */
+/* pwholdoff.c: how long a target that asked for a hold-off is sent no
+** requests. */
 #include "pwholdoff.h"
 
 #include "pwlimits.h"
--- a/packages/policy/pwplace.c
+++ b/packages/policy/pwplace.c
@@ -12,7 +12,7 @@
 
 struct pw_place {
   int n;
-  int weighted; /* weights differ */
+  int weighted; /* the weights differ */
   pw_place_target *t;
   uint16_t (*slot)[PW_RANKS]; /* indexes into t, best first, or NONE */
 };
@@ -31,7 +31,7 @@
   return (uint32_t)(key % PW_SLOTS);
 }
 
-/* A mix of slot and target, as good as a fresh random number. */
+/* Hash of slot and target, uniformly distributed. */
 static uint64_t mix(uint32_t slot, uint64_t id) {
   uint64_t x = id ^ (slot * 0x9e3779b97f4a7c15ULL);
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -39,7 +39,8 @@
   return x ^ (x >> 31);
 }
 
-/* Larger wins. For equal weights the mix itself orders the same way. */
+/* The largest score ranks first. With equal weights the hash itself gives the
+** same order. */
 static double score(uint32_t slot, const pw_place_target *t, int weighted) {
   uint64_t m = mix(slot, t->id);
   if (!weighted)
@@ -48,18 +49,19 @@
   return -(double)t->weight / log(u);
 }
 
-/* Ties, which only equal mixes make, go to the smaller id. */
-static int better(double a, uint64_t a_id, double b, uint64_t b_id) {
+/* Equal scores, which only equal hashes give, go to the smaller id. */
+static int is_better(double a, uint64_t a_id, double b, uint64_t b_id) {
   return a > b || (a == b && a_id < b_id);
 }
 
-/* Puts target i into a row if it is among the best. */
+/* Puts target i into the row of a slot if it is among its best. */
 static void insert(const pw_place *p, uint32_t slot, double *scores, int i) {
   uint16_t *row = p->slot[slot];
   double s = score(slot, &p->t[i], p->weighted);
   int at = PW_RANKS;
-  while (at > 0 && (row[at - 1] == NONE || better(s, p->t[i].id, scores[at - 1],
-                                                  p->t[row[at - 1]].id)))
+  while (at > 0 &&
+         (row[at - 1] == NONE ||
+          is_better(s, p->t[i].id, scores[at - 1], p->t[row[at - 1]].id)))
     at--;
   if (at == PW_RANKS)
     return;
@@ -71,6 +73,7 @@
   scores[at] = s;
 }
 
+/* Computes the row of a slot from all targets. */
 static void fill_slot(const pw_place *p, uint32_t slot) {
   double scores[PW_RANKS];
   for (int j = 0; j < PW_RANKS; j++)
@@ -79,8 +82,8 @@
     insert(p, slot, scores, i);
 }
 
-/* Takes over a row of the old table and adds the new targets. A row that lost
-** a target is filled from nothing. */
+/* Copies a row of the old table and adds the new targets. A row that lost a
+** target is computed from all targets. */
 static void carry_slot(const pw_place *p, const pw_place *old, uint32_t slot,
                        const uint16_t *now_at, const int *added, int nadded) {
   double scores[PW_RANKS];
@@ -112,6 +115,7 @@
   return t ? (int)(t - p->t) : -1;
 }
 
+/* Fills the table from the old one. */
 static void carry(const pw_place *p, const pw_place *old) {
   uint16_t *now_at = pw_alloc(sizeof *now_at * (size_t)(old->n + 1));
   int *added = pw_alloc(sizeof *added * (size_t)(p->n + 1));
@@ -180,8 +184,8 @@
     int above = 0;
     double s = score(slot, &t[i], weighted);
     for (int j = 0; j < n; j++)
-      above +=
-          j != i && better(score(slot, &t[j], weighted), t[j].id, s, t[i].id);
+      above += j != i &&
+               is_better(score(slot, &t[j], weighted), t[j].id, s, t[i].id);
     if (above == rank)
       return t[i].id;
   }
--- a/packages/policy/pwplace.h
+++ b/packages/policy/pwplace.h
@@ -1,9 +1,9 @@
-/* pwplace.h: where a chat's home is: rendezvous hashing through a slot table.
+/* pwplace.h: home of a chat by rendezvous hashing through a slot table.
 **
-** A chat's key falls into one of PW_SLOTS slots; each slot ranks its PW_RANKS
+** A chat's key maps to one of PW_SLOTS slots; each slot ranks its PW_RANKS
 ** best targets by weighted rendezvous score. A pick is one table read however
-** many targets there are; a target that joins or leaves moves only the slots
-** it wins or held. Tables are immutable and may be read by any thread. */
+** many targets there are; a target that joins or leaves only changes the slots
+** that it is ranked in. Tables are immutable and may be read by any thread. */
 #ifndef PWPLACE_H
 #define PWPLACE_H
 
@@ -19,23 +19,24 @@
 
 typedef struct pw_place pw_place;
 
-/* Hash of a target's name, and of a chat within a model. */
+/* Hash of a target's name. */
 uint64_t pwplace_id(const char *name);
+
+/* Hash of a chat within a pool. */
 uint64_t pwplace_key(const char *pool, const char *chat);
 
 /* Builds a table for n targets (at most 65,534), in any order. `old`, when not
-** NULL, is a table of earlier targets: the result is the same as from nothing,
-** made faster. */
+** NULL, is a table of earlier targets; it only makes the build faster, the
+** result is the same. */
 pw_place *pwplace_build(const pw_place_target *t, int n, const pw_place *old);
 void pwplace_free(pw_place *p);
 
 int pwplace_count(const pw_place *p);
 
-/* Target id at a rank (0 is the home) for a key; 0 when there are not so many
-** targets. */
+/* Target id at a rank (0 is the home) for a key; 0: there are fewer targets. */
 uint64_t pwplace_rank(const pw_place *p, uint64_t key, int rank);
 
-/* The same from the definition, looking at every target; for tests. */
+/* The same computed from the definition over all targets; for tests. */
 uint64_t pwplace_naive(const pw_place_target *t, int n, uint64_t key, int rank);
 
 #endif
--- a/packages/policy/pwreject.c
+++ b/packages/policy/pwreject.c
@@ -1,10 +1,13 @@
-/* pwreject.c: which targets turn requests away though they have room, or can't be reached. */
+/* pwreject.c: targets that refuse requests though they have free slots, or that
+** cannot be reached. */
 #include "pwreject.h"
 
-/* Others are preferred for so long, ms: a target that takes work again is back that much later. */
+/* Other targets are preferred for this time, ms. A target that takes requests
+** again is used that much later. */
 #define RECENT_MS 1500
 
-/* A target that has more than this part of its slots taken may be full: loads are told late. */
+/* A target with more than this part of its slots in use may have been full,
+** since its load is known late. */
 #define ROOM_PART 0.75
 
 void pwreject_note(pw_reject *r, int64_t now) {
--- a/packages/policy/pwreject.h
+++ b/packages/policy/pwreject.h
@@ -1,31 +1,36 @@
-/* pwreject.h: which targets turn requests away though they have room, or can't be reached.
+/* pwreject.h: targets that refuse requests though they have free slots, or
+** that cannot be reached.
 **
-** Pure: time comes in as an argument. Answers this load: a third of the targets turn most of what they
-** get away, by proof, and ask for no time without requests, or each asks every gateway apart. Each
-** request that was turned away costs a retry, of which there are 0.2 for each request: when these are
-** used up, callers are refused while two thirds of the targets are free. A hundred gateways meet each
-** such target so seldom that each alone learns nothing in ten seconds, so they tell each other. So it is
-** with targets that have gone dark: each gateway waited for a connection to each of them, a third of a
-** second each time.
+** Pure: time comes in as an argument. Prevents this failure: a third of the
+** targets refuse most of their requests, and do not ask for a hold-off, or
+** each asks every gateway separately. Each refused request costs a retry, of
+** which there are 0.2 for each request; once these are used up, callers are
+** refused while two thirds of the targets are free. A hundred gateways meet
+** each such target so rarely that one alone learns nothing in ten seconds, so
+** they report refusals to each other. The same holds for unresponsive targets:
+** each gateway waited for a connection to each of them, a third of a second
+** each time.
 **
-** Who is full is not meant: there all turn away alike, and gateways see it by loads. */
+** Targets that are full are not meant: then all refuse alike, and gateways see
+** it by the loads. */
 #ifndef PWREJECT_H
 #define PWREJECT_H
 
 #include <stdint.h>
 
-/* When a target did not take a request of this gateway last. {0}: it never did not. */
+/* When a target last did not take a request. {0}: never. */
 typedef struct pw_reject {
   int64_t at; /* ms; 0: never */
 } pw_reject;
 
-/* It did not take one. */
+/* The target did not take a request. */
 void pwreject_note(pw_reject *r, int64_t now);
 
-/* Whether that was so lately that others are preferred. */
+/* Whether that was so recent that other targets are preferred. */
 int pwreject_is_recent(const pw_reject *r, int64_t now);
 
-/* Whether who turned a request away had room for it, with `load` requests of `slots`. */
+/* Whether a target that refused a request had room for it, with `load` requests
+** at `slots`. */
 int pwreject_had_room(double load, double slots);
 
 #endif
--- a/packages/policy/pwretries.c
+++ b/packages/policy/pwretries.c
@@ -1,11 +1,11 @@
 /* pwretries.c: a retry budget over a sliding window. */
 #include "pwretries.h"
 
-/* Share of the budget that is spent: the rest is for requests of this window
-** that another one counts, and for retries that are under way. */
+/* Share of the budget that is spent. The rest allows for requests that count in
+** another window elsewhere and for retries in flight. */
 #define MARGIN 0.7
 
-/* With more than this part of the budget left there is no need to spare it. */
+/* With more than this part of the budget left there is no need to save it. */
 #define AMPLE_PART 0.5
 
 void pwretries_init(pw_retries *b, double ratio, double slack,
@@ -36,7 +36,7 @@
   (*cell_of(b, b->requests, now))++;
 }
 
-/* Retries that this gateway may send in a window. */
+/* Most retries that this gateway may send in a window. */
 static double allowed(const pw_retries *b, int gateways) {
   double share = b->slack / (gateways > 0 ? gateways : 1);
   return MARGIN * (b->ratio * sum(b->requests) + share);
--- a/packages/policy/pwroute.c
+++ b/packages/policy/pwroute.c
@@ -1,17 +1,19 @@
 /* pwroute.c: an entry's choice of the target to try next. */
 #include "pwroute.h"
 
-#define PREFIX_ASKS 2   /* targets asked for a prefix before giving up */
-#define QUEUE_AFTER 5   /* refusals for load until it may queue */
-#define DRAWS 4         /* looked at when the ranks are full, doubled by ... */
-#define DRAWS_GROW 4    /* ... each refusal for load, this often at most */
-#define RANKS_SPILLED 2 /* ranks a chat spills along */
-#define SCAN_MAX 64     /* targets looked at when the draws failed */
+#define PREFIX_ASKS 2 /* ranks asked for a prefix before giving up */
+#define QUEUE_AFTER 5 /* refusals for load until the request may queue */
+#define DRAWS 4       /* random targets looked at when the ranks are full */
+#define DRAWS_GROW                                                             \
+  4 /* each refusal for load doubles them, this often at most */
+#define RANKS_SPILLED 2     /* ranks tried before random targets */
+#define SCAN_MAX 64         /* targets looked at when no random one has room */
 #define RETRY_AFTER_MIN 500 /* ms */
 #define RETRY_AFTER_MAX 60000
 
-/* A target of another availability zone must be this much less loaded. */
-#define ZONE_GAIN 0.8
+/* Factor on the load of targets in the own availability zone, for
+** preference. */
+#define NEAR_FACTOR 0.8
 
 static int was_tried(const pw_route_walk *w, uint64_t id) {
   for (int i = 0; i < w->ntried; i++)
@@ -20,7 +22,7 @@
   return 0;
 }
 
-/* Fills out when id is a usable target that has not refused yet. */
+/* Fills in *out if id is a usable target that has not refused yet. */
 static int usable_target(const pw_route_pool *pool, const pw_route_walk *w,
                          uint64_t id, pw_route_target *out) {
   if (!id || was_tried(w, id) || !pool->get(pool->arg, id, out))
@@ -28,13 +30,13 @@
   return out->usable;
 }
 
-/* The same, but for those set aside. */
+/* The same, without ejected targets. */
 static int open_target(const pw_route_pool *pool, const pw_route_walk *w,
                        uint64_t id, pw_route_target *out) {
   return usable_target(pool, w, id, out) && !out->aside;
 }
 
-/* The same, with those that have only just joined. */
+/* The same, but with those in their slow start after joining. */
 static int prefix_target(const pw_route_pool *pool, const pw_route_walk *w,
                          uint64_t id, pw_route_target *out) {
   return usable_target(pool, w, id, out) && (!out->aside || out->joining);
@@ -44,8 +46,9 @@
   return t->load + cost <= t->limit;
 }
 
-/* A returning chat asks home and next rank for the prefix, full or not: the
-** agent knows better, and a refusal is a hop, not a lost answer. */
+/* The next target to ask for a returning chat's prefix: home and next rank,
+** even if they seem full. The agent knows its load better, and a refusal costs
+** only a hop. */
 static uint64_t prefix_holder(const pw_route_pool *pool, pw_route_walk *w) {
   pw_route_target t;
   if (!w->returning || w->prefix_done)
@@ -61,6 +64,7 @@
   return 0;
 }
 
+/* The home or the next rank, if it has room; 0: neither. */
 static uint64_t ranked(const pw_route_pool *pool, const pw_route_walk *w) {
   for (int rank = 0; rank < RANKS_SPILLED; rank++) {
     pw_route_target t;
@@ -71,12 +75,13 @@
   return 0;
 }
 
-static double apparent(const pw_route_target *t, const pw_route_walk *w) {
-  return t->availability_zone == w->availability_zone ? t->load * ZONE_GAIN
+/* Load for comparison, with the preference for the own availability zone. */
+static double compared_load(const pw_route_target *t, const pw_route_walk *w) {
+  return t->availability_zone == w->availability_zone ? t->load * NEAR_FACTOR
                                                       : t->load;
 }
 
-/* The least loaded of a few drawn that fit, or 0. */
+/* The least loaded of a few random targets that have room, or 0. */
 static uint64_t better_of_few(const pw_route_pool *pool, const pw_route_walk *w,
                               uint64_t draw) {
   pw_route_target best = {0};
@@ -87,30 +92,31 @@
     uint64_t id = pool->id[(draw >> 33) % (uint64_t)pool->n];
     if (!open_target(pool, w, id, &t) || !fits(&t, w->cost))
       continue;
-    if (!best.id || apparent(&t, w) < apparent(&best, w))
+    if (!best.id || compared_load(&t, w) < compared_load(&best, w))
       best = t;
   }
   return best.id;
 }
 
-typedef enum scan_mode { SCAN_FITS, SCAN_OPEN, SCAN_ASIDE } scan_mode;
+typedef enum scan_mode { SCAN_FITS, SCAN_OPEN, SCAN_EJECTED } scan_mode;
 
-/* Whether one that is set aside may be asked: where others are merely full it fails the request in
-** place of a short wait (520 to 549 of 600 whole, then 593 to 598), unless it is new. */
-static int may_ask_aside(const pw_route_target *t, const pw_route_walk *w) {
+/* Whether an ejected target may be asked. Where others are merely full it would
+** fail the request instead of a short wait, unless it is new: 520 to 549 of 600
+** requests were answered with it, 593 to 598 without. */
+static int may_ask_ejected(const pw_route_target *t, const pw_route_walk *w) {
   return !w->is_choosy && (!w->busy || t->joining);
 }
 
-/* First target from a drawn start on: one that fits; any open one; when all
-** are set aside, one of those, since no answer is the worst. */
-static uint64_t anyone(const pw_route_pool *pool, const pw_route_walk *w,
-                       uint64_t draw, scan_mode mode) {
+/* The first target from a random position on: one with room, or any open one,
+** or with SCAN_EJECTED an ejected one, since no answer would be worse. */
+static uint64_t scan(const pw_route_pool *pool, const pw_route_walk *w,
+                     uint64_t draw, scan_mode mode) {
   for (int i = 0; i < pool->n && i < SCAN_MAX; i++) {
     pw_route_target t;
     uint64_t id = pool->id[(draw + (uint64_t)i) % (uint64_t)pool->n];
     if (!usable_target(pool, w, id, &t))
       continue;
-    if (t.aside && (mode != SCAN_ASIDE || !may_ask_aside(&t, w)))
+    if (t.aside && (mode != SCAN_EJECTED || !may_ask_ejected(&t, w)))
       continue;
     if (mode != SCAN_FITS || fits(&t, w->cost))
       return id;
@@ -118,18 +124,19 @@
   return 0;
 }
 
+/* A target beyond the ranks; 0: none. */
 static uint64_t spilled(const pw_route_pool *pool, const pw_route_walk *w) {
   if (!pool->n)
     return 0;
   uint64_t draw = w->draw + (uint64_t)w->ntried * 0x9e3779b97f4a7c15ULL;
   uint64_t id = better_of_few(pool, w, draw);
-  for (int mode = SCAN_FITS; !id && mode <= SCAN_ASIDE; mode++)
-    id = anyone(pool, w, draw, (scan_mode)mode);
+  for (int mode = SCAN_FITS; !id && mode <= SCAN_EJECTED; mode++)
+    id = scan(pool, w, draw, (scan_mode)mode);
   return id;
 }
 
-/* Where to wait: at the one of those that refused where the wait, less what a
-** prefix cached there is worth, is shortest. */
+/* The target to queue at: the one of those that refused with the shortest wait,
+** less what a prefix cached there is worth. */
 static uint64_t queue_at(const pw_route_pool *pool, const pw_route_walk *w) {
   int64_t least = 0;
   uint64_t best = 0;
@@ -145,7 +152,7 @@
   return best;
 }
 
-/* Whether nobody else could be asked after it. */
+/* Whether no other target could be asked after this one. */
 static int is_only_open(const pw_route_pool *pool, const pw_route_walk *w,
                         uint64_t id) {
   for (int i = 0; i < pool->n && i < SCAN_MAX; i++) {
@@ -164,7 +171,7 @@
     return pick;
   if (w->busy >= QUEUE_AFTER) {
     w->queued = 1;
-    if (w->has_no_room)
+    if (w->sole_is_full)
       return pick;
     pick.id = queue_at(pool, w);
     pick.may_queue = 1;
@@ -180,10 +187,10 @@
     w->busy = QUEUE_AFTER;
     return pwroute_next(pool, w);
   }
-  /* A refusal would only bring it back there to wait. */
+  /* A refusal would only bring the request back there to wait. */
   if (pick.id && !pick.need_prefix && !w->busy)
     pick.may_queue = is_only_open(pool, w, pick.id);
-  w->is_at_only = pick.may_queue;
+  w->is_sole = pick.may_queue;
   pick.is_home = pick.id && pick.id == home;
   return pick;
 }
@@ -195,7 +202,7 @@
   if (why == PW_REFUSED_MISSED)
     return;
   w->busy += why == PW_REFUSED_BUSY;
-  w->has_no_room |= w->is_at_only && why == PW_REFUSED_BUSY;
+  w->sole_is_full |= w->is_sole && why == PW_REFUSED_BUSY;
   if (was_tried(w, id) || w->ntried == PWROUTE_TRIED)
     return;
   w->wait[w->ntried] = (int64_t)wait_ms - worth_ms;
