--- a/packages/policy/pwbound.c
+++ b/packages/policy/pwbound.c
@@ -1,4 +1,4 @@
-/* pwbound.c: load, reports of it, and the bound. */
+/* pwbound.c: the load of a target and the upper bound on it. */
 #include "pwbound.h"
 
 #define MS 1000.0
--- a/packages/policy/pwbreak.c
+++ b/packages/policy/pwbreak.c
@@ -1,13 +1,13 @@
-/* pwbreak.c: circuit breaker and slow start. */
+/* pwbreak.c: circuit breaker and slow start of one target. */
 #include "pwbreak.h"
 
 #include <math.h>
 
-#define HALF_LIFE_MS 5000.0
-#define MIN_FAILURES 2.5
-#define MAX_SHARE 0.5
-#define IN_A_ROW 3
-#define FIRST_SHARE 0.05 /* of its picks, when slow start begins */
+#define HALF_LIFE_MS 5000.0 /* of the counts */
+#define MIN_FAILURES 2.5    /* decayed count below which it stays closed */
+#define MAX_SHARE 0.5       /* error rate from which it opens */
+#define CONSECUTIVE_MAX 3   /* failures in a row that open it */
+#define FIRST_SHARE 0.05    /* of its picks, when slow start begins */
 
 void pwbreak_init(pw_breaker *b, int64_t now, int fresh) {
   *b = (pw_breaker){.at = now, .open_ms = PWBREAK_OPEN_MS};
@@ -32,14 +32,14 @@
     b->open_ms = PWBREAK_OPEN_MAX_MS;
   b->failures = 0;
   b->attempts = 0;
-  b->in_a_row = 0;
+  b->consecutive = 0;
 }
 
 int pwbreak_result(pw_breaker *b, int failed, int64_t now) {
   decay(b, now);
   b->attempts += 1;
   b->failures += failed ? 1 : 0;
-  b->in_a_row = failed ? b->in_a_row + 1 : 0;
+  b->consecutive = failed ? b->consecutive + 1 : 0;
   if (now < b->open_until)
     return 0;
   int ramping = b->ramp_from && now < b->ramp_from + PWBREAK_RAMP_MS;
@@ -51,7 +51,7 @@
   int relapse = ramping && b->open_until > 0;
   int often =
       b->failures >= MIN_FAILURES && b->failures >= MAX_SHARE * b->attempts;
-  if (!relapse && !often && b->in_a_row < IN_A_ROW)
+  if (!relapse && !often && b->consecutive < CONSECUTIVE_MAX)
     return 0;
   open_for(b, now);
   return 1;
--- a/packages/policy/pwbudget.c
+++ b/packages/policy/pwbudget.c
@@ -1,4 +1,4 @@
-/* pwbudget.c: retry budget and token bucket. */
+/* pwbudget.c: retry budget as a share of successes, and token buckets. */
 #include "pwbudget.h"
 
 #define MS 1000.0
--- a/packages/policy/pwbudget.h
+++ b/packages/policy/pwbudget.h
@@ -1,29 +1,30 @@
-/* pwbudget.h: budgets: retries as a share of successes, and token buckets. */
+/* pwbudget.h: retry budget as a share of successes, and token buckets. */
 #ifndef PWBUDGET_H
 #define PWBUDGET_H
 
 #include <stdint.h>
 
-/* Retries are paid from what successes earned, never a fixed count. */
+/* Successes earn the retries; there is no fixed number of them. */
 typedef struct pw_retry_budget {
   double share; /* earned by one success */
-  double cap;   /* most it holds */
-  double left;
+  double cap;   /* most retries saved up */
+  double left;  /* retries left now */
 } pw_retry_budget;
 
 void pwretry_init(pw_retry_budget *b, double share, double cap);
 void pwretry_success(pw_retry_budget *b);
 
-/* Takes one retry; 0 when there is none left. */
+/* Takes one retry; 0: none is left. */
 int pwretry_spend(pw_retry_budget *b);
 
-/* Whether what is left is to be spared: never while half of it is left, always when nothing is, between
-** them as often as the rest is short. `draw` is uniform in [0, 1). */
+/* Whether to save the rest of the budget: never while half of it is left,
+** always when it is used up; in between the probability grows as the rest
+** shrinks. `draw` is uniform in [0, 1). */
 int pwretry_is_scarce(const pw_retry_budget *b, double draw);
 
-/* Tokens that come at a rate up to a burst. A rate of 0 means no limit. */
+/* Token bucket: filled at a rate, up to a burst. A rate of 0 means no limit. */
 typedef struct pw_bucket {
-  double rate; /* a second */
+  double rate; /* tokens a second */
   double burst;
   double left;
   int64_t at; /* ms */
@@ -31,16 +32,16 @@
 
 void pwbucket_init(pw_bucket *b, double rate, double burst, int64_t now);
 
-/* Changes the rate without giving a fresh burst. */
+/* Changes the rate and burst without refilling the bucket. */
 void pwbucket_rate(pw_bucket *b, double rate, double burst, int64_t now);
 
-/* Takes n if there are that many; 0 otherwise. */
+/* Takes n tokens; 0: there are not that many. */
 int pwbucket_take(pw_bucket *b, double n, int64_t now);
 
-/* Takes n, into debt if need be: for costs known afterwards. */
+/* Takes n tokens, into debt if necessary: for costs known only afterwards. */
 void pwbucket_charge(pw_bucket *b, double n, int64_t now);
 
-/* Milliseconds until n could be taken; 0 when now. */
+/* Milliseconds until n tokens can be taken; 0: now. */
 int64_t pwbucket_wait(pw_bucket *b, double n, int64_t now);
 
 #endif
--- a/packages/policy/pwcache.c
+++ b/packages/policy/pwcache.c
@@ -1,18 +1,18 @@
-/* pwcache.c: an agent's picture of its target's prefix cache. */
+/* pwcache.c: an agent's estimate of its target's prefix cache. */
 #include "pwcache.h"
 
 #include <stddef.h>
 
 #define CHATS_MAX 65536
 #define KEEP_MS (7LL * 24 * 3600 * 1000)
-#define ROOM_FIRST 1e9 /* until a miss tells better */
-#define ROOM_LEAST 2000.0
-#define SHRINK 0.97
-#define GROW 1.005
+#define CAPACITY_FIRST 1e9 /* tokens, until the first miss */
+#define CAPACITY_LEAST 2000.0
+#define SHRINK 0.97 /* factor for each miss */
+#define GROW 1.005  /* factor for each hit near the capacity */
 
 void pwcache_init(pw_cache *c) {
   c->chats = pwchat_new(CHATS_MAX, KEEP_MS);
-  c->room = ROOM_FIRST;
+  c->capacity = CAPACITY_FIRST;
 }
 
 void pwcache_free(pw_cache *c) {
@@ -26,17 +26,17 @@
   return tokens;
 }
 
-/* A miss says that the cache holds less than what was put there since. */
+/* A miss shows that the cache holds less than what was put there since. */
 static void learn(pw_cache *c, uint32_t cached, uint32_t expected) {
   if (!expected)
     return;
   double held = (double)pwchat_tokens(c->chats);
   if (cached < expected / 2) {
-    c->room = (held < c->room ? held : c->room) * SHRINK;
-    if (c->room < ROOM_LEAST)
-      c->room = ROOM_LEAST;
-  } else if (held > c->room * SHRINK) {
-    c->room *= GROW;
+    c->capacity = (held < c->capacity ? held : c->capacity) * SHRINK;
+    if (c->capacity < CAPACITY_LEAST)
+      c->capacity = CAPACITY_LEAST;
+  } else if (held > c->capacity * SHRINK) {
+    c->capacity *= GROW;
   }
 }
 
@@ -44,7 +44,7 @@
                   uint32_t cached, uint32_t expected, int64_t now) {
   learn(c, cached, expected);
   pwchat_put(c->chats, chat, "", prompt, now);
-  pwchat_fit(c->chats, (uint64_t)c->room);
+  pwchat_fit(c->chats, (uint64_t)c->capacity);
 }
 
 void pwcache_restarted(pw_cache *c) {
@@ -53,8 +53,8 @@
   c->seen = 0;
 }
 
-/* What the agent saw itself, later, counts more. */
-static void take(pw_cache *c, const pw_cache_event *e) {
+/* Applies an event, unless the agent itself saw the chat after it. */
+static void apply(pw_cache *c, const pw_cache_event *e) {
   if (pwchat_at(c->chats, e->chat) > e->at)
     return;
   if (e->tokens)
@@ -63,39 +63,40 @@
     pwchat_forget(c->chats, e->chat);
 }
 
-static void take_picture(pw_cache *c, const pw_cache_news *news) {
+static void apply_snapshot(pw_cache *c, const pw_cache_news *news) {
   pwchat_forget_before(c->chats, news->at);
   for (size_t i = 0; i < news->n; i++)
-    take(c, &news->event[i]);
+    apply(c, &news->event[i]);
 }
 
-/* In order of their numbers; those seen before are passed over. */
-static int take_changes(pw_cache *c, const pw_cache_news *news) {
+/* Applies events in order of their numbers and skips those seen before;
+** returns 0 at a gap. */
+static int apply_changes(pw_cache *c, const pw_cache_news *news) {
   for (size_t i = 0; i < news->n; i++) {
     const pw_cache_event *e = &news->event[i];
     if (e->number <= c->seen)
       continue;
     if (e->number != c->seen + 1)
       return 0;
-    take(c, e);
+    apply(c, e);
     c->seen = e->number;
   }
   return c->seen >= news->newest;
 }
 
 int pwcache_news(pw_cache *c, const pw_cache_news *news) {
-  int whole = 1;
+  int complete = 1;
   if (news->is_picture) {
-    take_picture(c, news);
+    apply_snapshot(c, news);
     c->seen = news->newest;
   } else if (news->epoch != c->epoch) {
     pwcache_restarted(c);
     return 0;
   } else {
-    whole = take_changes(c, news);
+    complete = apply_changes(c, news);
   }
   c->epoch = news->epoch;
   if (news->n)
     pwchat_sort(c->chats);
-  return whole;
+  return complete;
 }
--- a/packages/policy/pwchat.c
+++ b/packages/policy/pwchat.c
@@ -1,4 +1,4 @@
-/* pwchat.c: bounded tables of chats, oldest out first. */
+/* pwchat.c: bounded tables of chats; the oldest is dropped first. */
 #include "pwchat.h"
 
 #include "pwbuf.h"
@@ -7,8 +7,9 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-/* uthash keeps the order of adding, so the first row is the oldest. Chats are
-** held by a 128-bit hash: a row's size does not depend on the caller. */
+/* uthash keeps the insertion order, so the first row is the oldest. The key is
+** a 128-bit hash of the chat, so a row's size does not depend on the
+** caller. */
 typedef struct row {
   XXH128_hash_t key;
   char where[PW_NAME_MAX];
--- a/packages/policy/pwchat.h
+++ b/packages/policy/pwchat.h
@@ -1,5 +1,5 @@
-/* pwchat.h: bounded tables of chats: whose prefix is cached here, and where a
-** displaced chat's prefix lies. */
+/* pwchat.h: bounded tables of chats: those whose prefix is cached here, and the
+** target that has the prefix of a chat served away from its home. */
 #ifndef PWCHAT_H
 #define PWCHAT_H
 
@@ -9,31 +9,36 @@
 
 typedef struct pw_chats pw_chats;
 
-/* At most cap chats, each forgotten keep_ms after it was last put. */
+/* A table of at most cap chats, each dropped keep_ms after it was last put. */
 pw_chats *pwchat_new(int cap, int64_t keep_ms);
 void pwchat_free(pw_chats *c);
 int pwchat_count(const pw_chats *c);
 
-/* Sum of the tokens, and forgetting the oldest until the sum fits. */
+/* Sum of the tokens of all chats. */
 uint64_t pwchat_tokens(const pw_chats *c);
+
+/* Drops the oldest chats until the sum is at most `tokens`; the newest
+** stays. */
 void pwchat_fit(pw_chats *c, uint64_t tokens);
 
-/* Remembers a chat, as the newest; the oldest makes room. `where` is a target
-** name or ""; tokens is the length of the cached prefix. */
+/* Adds or updates a chat, as the newest; a full table drops the oldest.
+** `where` is a target name or ""; `tokens` is the length of the cached
+** prefix. */
 void pwchat_put(pw_chats *c, const char *chat, const char *where,
                 uint32_t tokens, int64_t now);
 
-/* Looks a chat up; 0 when unknown or expired. where and tokens may be NULL. */
+/* Looks up a chat; 0: unknown or expired. `where` and `tokens` may be NULL. */
 int pwchat_get(pw_chats *c, const char *chat, char where[PW_NAME_MAX],
                uint32_t *tokens, int64_t now);
 
-/* When a chat was last put, as it was told; INT64_MIN when unknown. */
+/* The time with which a chat was last put; INT64_MIN when unknown. */
 int64_t pwchat_at(const pw_chats *c, const char *chat);
 
-/* Forgets all that were put before a time. */
+/* Drops all chats that were put before a time. */
 void pwchat_forget_before(pw_chats *c, int64_t at);
 
-/* Puts the chats in order of when they were put: for times told late. */
+/* Sorts the chats by the time with which they were put, after some were put
+** with an earlier time. */
 void pwchat_sort(pw_chats *c);
 
 void pwchat_forget(pw_chats *c, const char *chat);
--- a/packages/policy/pwcold.c
+++ b/packages/policy/pwcold.c
@@ -1,18 +1,19 @@
-/* pwcold.c: what a gateway sends to a target that has not warmed up. */
+/* pwcold.c: rate limit for requests to a target that has not warmed up. */
 #include "pwcold.h"
 
 #include <assert.h>
 
 #define MS_PER_S 1000.0
 
-/* How much of what a cold target bears gateways part among them: more than all, since a turn
-** is only taken when a request comes. At 1, 4, 23 and 103 gateways with three times as much
-** asked a cold target of 23 requests a second got 21, 21, 18 and 9 of them, 29 at most in any
-** second of 200 runs (39 are borne); with 0.8 it got 15, 15, 13 and 6, with 1.6 at most 34
-** (test_cold). */
+/* Share of a cold target's rate that the gateways divide among them. It is
+** above 1 since a turn is only used when a request arrives. With 1, 4, 23 and
+** 103 gateways and three times the load, a cold target of 23 requests a second
+** gets 21, 21, 18 and 9, at most 29 in any second of 200 runs (it can take
+** 39). With 0.8 it gets 15, 15, 13 and 6, with 1.6 at most 34 (test_cold). */
 #define USED_SHARE 1.2
 
-/* A turn that is taken late by less than this part of the pause does not put off the next. */
+/* A turn that is used late by less than this part of the interval does not
+** delay the next one. */
 #define LATE_SHARE 0.25
 
 int pwcold_is(const pw_cold *c, const pw_cold_service *s, int64_t now) {
@@ -21,13 +22,13 @@
   return now < c->until || (c->doubt_at && now < c->doubt_at + s->ms);
 }
 
-/* Ms between two requests of a gateway. */
-static double pause_of(const pw_cold_service *s, double part) {
+/* Interval in ms between two requests of a gateway. */
+static double interval_of(const pw_cold_service *s, double part) {
   assert(part > 0 && part <= 1);
   return MS_PER_S / (USED_SHARE * s->per_s * part);
 }
 
-/* The first turn is drawn, so that not all gateways send at once. */
+/* The first turn is random, so that not all gateways send at the same time. */
 int pwcold_may(pw_cold *c, const pw_cold_service *s, double part, double draw,
                int64_t now) {
   if (!pwcold_is(c, s, now)) {
@@ -35,7 +36,7 @@
     return 1;
   }
   if (!c->next_at)
-    c->next_at = now + (int64_t)(draw * pause_of(s, part));
+    c->next_at = now + (int64_t)(draw * interval_of(s, part));
   return now >= c->next_at;
 }
 
@@ -43,7 +44,7 @@
                  int64_t now) {
   if (!pwcold_is(c, s, now))
     return;
-  double pause = pause_of(s, part);
-  int is_late = (double)(now - c->next_at) > LATE_SHARE * pause;
-  c->next_at = (is_late ? now : c->next_at) + (int64_t)pause;
+  double interval = interval_of(s, part);
+  int is_late = (double)(now - c->next_at) > LATE_SHARE * interval;
+  c->next_at = (is_late ? now : c->next_at) + (int64_t)interval;
 }
--- a/packages/policy/pwgather.h
+++ b/packages/policy/pwgather.h
@@ -1,20 +1,24 @@
-/* pwgather.h: how long news wait for each other before watchers are told.
+/* pwgather.h: how long updates are coalesced before they are sent to watchers.
 **
-** Pure. Answers this load: after a loss of all, hundreds of targets come back within seconds, a
-** change every few ms, and hundreds of gateways are to be told. Each telling is a message to
-** each of them, so the more there are the longer changes of targets wait for those that follow;
-** but a gateway can answer nobody before it has the configuration, which changes seldom: that
-** there is a newer one waits for much less, whatever else is told meanwhile. */
+** Pure. The problem: after a loss of all targets, hundreds of them return
+** within seconds, a change every few ms, and hundreds of gateways have to be
+** notified. Each update is a message to each of them, so the more watchers
+** there are, the longer changes of targets wait for those that follow. But a
+** gateway can answer no request before it has the configuration, which changes
+** rarely: the notice of a newer version waits much less, and separately from
+** other updates. */
 #ifndef PWGATHER_H
 #define PWGATHER_H
 
 #include <stdint.h>
 
-/* Between two tellings of changes of targets, ms: `relying` watchers hear of all of them, `others` of
-** what was heard here and leaves. */
+/* Interval between updates on targets, ms. `relying` watchers are sent all
+** changes, `others` only what targets reported to this instance, and targets
+** that leave. */
 int64_t pwgather_targets_ms(int relying, int others);
 
-/* Between two tellings of configurations and other versions, to all watchers, ms. */
+/* Interval between notices of new versions, of the configuration and others, to
+** all watchers, ms. */
 int64_t pwgather_versions_ms(int watchers);
 
 #endif
--- a/packages/policy/pwhold.c
+++ b/packages/policy/pwhold.c
@@ -1,20 +1,23 @@
-/* pwhold.c: how much a gateway may hold for callers and targets that do not take it. */
+/* pwhold.c: limits on what a gateway buffers for callers and targets that read
+** slowly. */
 #include "pwhold.h"
 
 #define UNTAKEN (128.0 * 1024)
-#define UNTAKEN_LEAST 0.0 /* a piece, which is passed on whole */
+#define UNTAKEN_LEAST 0.0 /* one piece at a time, which is passed on complete */
 #define AHEAD (256.0 * 1024)
 #define AHEAD_LEAST (4.0 * 1024)
 #define BODY_LEAST (64.0 * 1024)
-#define BODY_PART                                                              \
-  0.25 /* of what is left; several may come before it is looked at again */
 
-/* Targets cut an answer that is left unread for some seconds. */
+/* Longest body as a part of the budget left: several may arrive before the
+** limits are computed again. */
+#define BODY_PART 0.25
+
+/* Targets cut off an answer that is not read for some seconds. */
 #define STALL_MS 5000.0
 #define STALL_WHOLE_MS 60000.0 /* as long as callers wait for an answer */
 #define STALL_LEAST_MS 1000.0
 
-#define EASE 0.5 /* up to this part of the budget nobody has less */
+#define FULL_PART 0.5 /* part of the budget up to which no limit shrinks */
 
 static double between(double least, double most, double ease) {
   return least + ease * (most - least);
@@ -22,7 +25,7 @@
 
 pw_hold pwhold_limits(size_t held, size_t budget) {
   double left = held < budget ? (double)(budget - held) : 0;
-  double ease = left / (double)budget / (1 - EASE);
+  double ease = left / (double)budget / (1 - FULL_PART);
   if (ease > 1)
     ease = 1;
   double body = BODY_PART * left;
--- a/packages/policy/pwhold.h
+++ b/packages/policy/pwhold.h
@@ -1,10 +1,12 @@
-/* pwhold.h: how much a gateway may hold for callers and targets that do not take it.
+/* pwhold.h: limits on what a gateway buffers for callers and targets that read
+** slowly.
 **
-** Pure. Answers this load: many callers stop reading in the middle of their answers, or send
-** long bodies to targets that read slowly; what is held for each is small, but all of it
-** together is more than the process may have. While less than half of the budget is held each
-** has as much as serves it best; past that all have less, down to little, and whoever has
-** taken nothing for long is ended sooner. */
+** Pure. Prevents this failure: many callers stop reading in the middle of
+** their answers, or send long bodies to targets that read slowly. The buffer
+** of each is small, but all of them exceed the memory of the process. While
+** less than half of the budget is in use, each limit is at its best value;
+** above that all limits shrink, and callers that read nothing are disconnected
+** sooner. */
 #ifndef PWHOLD_H
 #define PWHOLD_H
 
@@ -13,17 +15,17 @@
 
 typedef struct pw_hold {
   size_t
-      untaken; /* bytes of a stream that a caller has not taken: past that its target
-                    ** is held up */
+      untaken; /* unread bytes of a stream from which on its target is paused */
   size_t
-      ahead; /* bytes that are read of a caller while its request is in progress */
-  size_t body;      /* longest body of a request that comes now */
-  int64_t stall_ms; /* a caller that takes nothing for so long is ended ... */
-  int64_t
-      stall_whole_ms; /* ... and one whose answers are whole: they hold no target up */
+      ahead;   /* bytes read ahead from a caller whose request is in progress */
+  size_t body; /* longest body of a request that arrives now */
+  int64_t stall_ms;       /* a caller that reads nothing for this time is
+                             disconnected, ms */
+  int64_t stall_whole_ms; /* the same for one whose answers are complete: they
+                             pause no target */
 } pw_hold;
 
-/* What each may have while so much of a budget is held, bytes. */
+/* The limits while `held` bytes of a budget are in use. */
 pw_hold pwhold_limits(size_t held, size_t budget);
 
 #endif
--- a/packages/policy/pwmove.c
+++ b/packages/policy/pwmove.c
@@ -1,4 +1,5 @@
-/* pwmove.c: what a cached prefix is worth. */
+/* pwmove.c: cost of moving a cached prefix, compared with computing it
+** again. */
 #include "pwmove.h"
 
 #define KEEP 0.8 /* weight of the past in the averages */
@@ -16,8 +17,8 @@
     average(&m->compute, ms / tokens);
 }
 
-/* Tokens that did not come were computed: what that cost is part of the price
-** of those asked for. */
+/* Tokens that did not arrive had to be computed, which counts as a cost of the
+** import. */
 void pwmove_imported(pw_move *m, uint32_t asked, uint32_t got, double ms) {
   if (asked < PWMOVE_TOKENS_LEAST)
     return;
--- a/packages/policy/pwmove.h
+++ b/packages/policy/pwmove.h
@@ -1,40 +1,40 @@
-/* pwmove.h: what a cached prefix is worth: wait for it, move it, compute it
-** anew.
+/* pwmove.h: cost of moving a cached prefix between targets, compared with
+** computing it again.
 **
-** One model for the three ways, from what the target was seen to do: ms a
-** token to compute a prompt, and ms a token to take over another target's KV
-** cache. Taking over is tried only where it is allowed, and is given up by
-** itself where it turns out slower than computing; now and then it is tried
-** again. */
+** One model for waiting, moving and computing, from the rates seen at the
+** target: ms a token to compute a prompt, and ms a token to import another
+** target's KV cache. Imports are tried only where they are allowed, and are
+** given up where they turn out slower than computing; now and then one is
+** tried again. */
 #ifndef PWMOVE_H
 #define PWMOVE_H
 
 #include <stdint.h>
 
-#define PWMOVE_TOKENS_LEAST 64 /* fewer tell more about latency than rate */
-#define PWMOVE_FIRST_SHARE 0.2 /* first guess: import over compute */
-#define PWMOVE_TRY_EVERY 64    /* chances after which it is tried again */
+#define PWMOVE_TOKENS_LEAST 64 /* with fewer, latency hides the rate */
+#define PWMOVE_FIRST_SHARE 0.2 /* first estimate of import cost over compute */
+#define PWMOVE_TRY_EVERY 64 /* chances after which an import is tried again */
 
 typedef struct pw_move {
   int may_import;
-  double compute; /* ms a prompt token, average; 0: not seen yet */
-  double import;  /* ms a token taken over; 0: not seen yet */
-  int passed;     /* chances not taken since the last try */
+  double compute; /* average ms a computed prompt token; 0: unknown */
+  double import;  /* average ms an imported token; 0: unknown */
+  int passed;     /* chances not used since the last import */
 } pw_move;
 
 void pwmove_init(pw_move *m, int may_import);
 
-/* A prompt's head came after ms: so many tokens were computed. */
+/* A prompt's first output came after `ms`, with `tokens` computed. */
 void pwmove_computed(pw_move *m, uint32_t tokens, double ms);
 
-/* `asked` tokens were to be taken over, `got` were, within ms. */
+/* `asked` tokens were to be imported; `got` of them were, within `ms`. */
 void pwmove_imported(pw_move *m, uint32_t asked, uint32_t got, double ms);
 
-/* What taking a token over costs, as a share of computing it; 1 when that is
-** not possible or does not pay. */
+/* Cost of importing a token as a share of computing it; 1: importing is not
+** possible or not cheaper. */
 double pwmove_share(const pw_move *m);
 
-/* Whether to take a prefix of that many tokens over from another target. */
+/* Whether to import a prefix of that many tokens from another target. */
 int pwmove_takes(pw_move *m, uint32_t tokens);
 
 #endif
--- a/packages/policy/pwpace.h
+++ b/packages/policy/pwpace.h
@@ -1,9 +1,9 @@
-/* pwpace.h: how fast bulk may go out over a link that urgent messages share.
+/* pwpace.h: pacing of bulk data on a link that urgent messages share.
 **
-** Pure: time comes in as an argument. Answers this load: tables of all targets and long
-** configurations, wanted by a hundred receivers at once, are many times what the link of
-** a control instance carries in a second. Whatever is queued there, votes, leases and
-** acknowledgements wait behind. */
+** Pure: time comes in as an argument. Prevents this failure: tables of all
+** targets and long configurations, wanted by a hundred receivers at once, are
+** many times what the link of a control instance carries in a second. Votes,
+** leases and acknowledgements would wait behind whatever is queued there. */
 #ifndef PWPACE_H
 #define PWPACE_H
 
@@ -11,17 +11,17 @@
 #include <stdint.h>
 
 typedef struct pw_pace {
-  double bits_a_ms; /* that bulk may take; 0: the link has no bound */
-  int64_t free_at;  /* when all that was let out has left, ms */
+  double bits_per_ms; /* rate of bulk data; 0: no limit */
+  int64_t free_at;    /* when everything passed on so far has been sent, ms */
 } pw_pace;
 
-/* Bulk over a link of so many Mbit/s, its share; 0: no bound. */
+/* Pacing of bulk data on a link of that many Mbit/s; 0: no limit. */
 pw_pace pwpace_of(double link_mbps);
 
-/* Whether the next piece of bulk may go out. */
+/* Whether the next piece of bulk data may be sent. */
 int pwpace_has_room(const pw_pace *p, int64_t now);
 
-/* It goes out: so many bytes. */
+/* A piece of so many bytes is sent. */
 void pwpace_take(pw_pace *p, size_t bytes, int64_t now);
 
 #endif
--- a/packages/policy/pwplan.c
+++ b/packages/policy/pwplan.c
@@ -9,11 +9,11 @@
 
 #define ALL 100.0
 
-/* A slot as it stands in the order of choice. */
+/* A slot with its rank for sorting. */
 typedef struct choice {
   const pw_plan_slot *s;
   int at;
-  int rank; /* lower goes first */
+  int rank; /* lower is first */
 } choice;
 
 static int by_rank(const void *a, const void *b) {
@@ -54,7 +54,8 @@
   return ms < PWPLAN_RETRY_MAX_MS ? ms : PWPLAN_RETRY_MAX_MS;
 }
 
-/* What was loaded or lost goes into and out of service before anything else. */
+/* Before anything else, loaded versions go into service and lost ones out of
+** it. */
 static pw_plan_step follow_loads(const pw_plan_slot *slot, int n) {
   for (int i = 0; i < n; i++) {
     const pw_plan_slot *s = &slot[i];
@@ -69,7 +70,8 @@
   return (pw_plan_step){0};
 }
 
-/* Those to carry the model first: in service, then with an order, then new. */
+/* Sorts the usable slots by which are to serve the model first: in service,
+** then with an order, then the rest. Returns their number. */
 static int order_slots(const pw_plan_slot *slot, int n, choice *out) {
   int count = 0;
   for (int i = 0; i < n; i++) {
@@ -82,23 +84,24 @@
   return count;
 }
 
-/* Those to carry `to` first: with it, then out of service, then the rest. */
+/* Sorts by which are to serve `to` first: ordered to load it, then out of
+** service, then the rest. */
 static void order_for(const char *to, choice *c, int n) {
   for (int i = 0; i < n; i++)
     c[i].rank = loads(c[i].s, to) ? 0 : c[i].s->has_serve ? 2 : 1;
   qsort(c, (size_t)n, sizeof *c, by_rank);
 }
 
-/* Out of service, but for those that fail again and again: one broken target
-** does not hold up all others. */
-static int count_away(const choice *c, int n) {
-  int away = 0;
+/* Number out of service, without those that fail again and again: one broken
+** target does not block all others. */
+static int count_out(const choice *c, int n) {
+  int out_of_service = 0;
   for (int i = 0; i < n; i++)
-    away += !c[i].s->has_serve && c[i].s->failures < PWPLAN_HOPELESS;
-  return away;
+    out_of_service += !c[i].s->has_serve && c[i].s->failures < PWPLAN_HOPELESS;
+  return out_of_service;
 }
 
-/* Whether the slot's order is to be given, or given again. */
+/* Whether the slot is to be ordered to load the version, or ordered again. */
 static int needs_load(const pw_plan_slot *s, const char *version, int64_t now) {
   if (is_loading(s))
     return 0;
@@ -109,13 +112,13 @@
   return !s->loaded && now >= s->retry_at;
 }
 
-static pw_plan_step next_load(const pw_plan_ask *ask, const choice *c, int n,
+static pw_plan_step next_load(const pw_plan_ask *in, const choice *c, int n,
                               int64_t now) {
-  int to = (int)ceil(n * ask->share / ALL);
+  int to = (int)ceil(n * in->share / ALL);
   int most = (int)(n * PWPLAN_AWAY);
-  int room = (most > 1 ? most : 1) - count_away(c, n);
+  int room = (most > 1 ? most : 1) - count_out(c, n);
   for (int i = 0; i < n; i++) {
-    const char *version = i < to ? ask->to : ask->from;
+    const char *version = i < to ? in->to : in->from;
     if (!needs_load(c[i].s, version, now))
       continue;
     if (!c[i].s->has_serve || room > 0)
@@ -124,20 +127,20 @@
   return (pw_plan_step){0};
 }
 
-pw_plan_step pwplan_next(const pw_plan_ask *ask, const pw_plan_slot *slot,
-                         int n, int64_t now) {
+pw_plan_step pwplan_next(const pw_plan_ask *in, const pw_plan_slot *slot, int n,
+                         int64_t now) {
   pw_plan_step step = follow_loads(slot, n);
   if (step.kind != PW_PLAN_NONE || n <= 0)
     return step;
   choice *c = pw_alloc(sizeof *c * (size_t)n);
   int count = order_slots(slot, n, c);
-  int carry = ask->replicas && ask->replicas < count ? ask->replicas : count;
-  for (int i = carry; i < count && step.kind == PW_PLAN_NONE; i++)
+  int wanted = in->replicas && in->replicas < count ? in->replicas : count;
+  for (int i = wanted; i < count && step.kind == PW_PLAN_NONE; i++)
     if (c[i].s->has_load || c[i].s->has_serve)
       step = (pw_plan_step){PW_PLAN_RETIRE, c[i].at, NULL};
-  order_for(ask->to, c, carry);
-  if (step.kind == PW_PLAN_NONE && ask->may_load)
-    step = next_load(ask, c, carry, now);
+  order_for(in->to, c, wanted);
+  if (step.kind == PW_PLAN_NONE && in->may_load)
+    step = next_load(in, c, wanted, now);
   free(c);
   return step;
 }
--- a/packages/policy/pwqueue.c
+++ b/packages/policy/pwqueue.c
@@ -1,4 +1,4 @@
-/* pwqueue.c: weighted fair queue with deadlines. */
+/* pwqueue.c: weighted fair queue of waiting requests, with deadlines. */
 #include "pwqueue.h"
 
 #include "pwbuf.h"
@@ -7,7 +7,7 @@
 #include <string.h>
 #include <uthash.h>
 
-/* One workspace's items, kept in order of priority, then deadline. */
+/* The items of one workspace, sorted by priority, then deadline. */
 typedef struct flow {
   char workspace[PW_NAME_MAX];
   double weight;
@@ -24,7 +24,7 @@
   int cap;
   int count;
   double tokens;
-  double now; /* virtual time: start of the item served last */
+  double now; /* virtual time: start of the item taken last */
 };
 
 pw_queue *pwqueue_new(int cap) {
@@ -96,8 +96,9 @@
   q->tokens += item->cost;
 }
 
-/* Takes item i of a flow. An emptied flow is kept while it is ahead of the
-** virtual time, so that coming back does not make it first again. */
+/* Removes item i of a flow. An empty flow is kept while it is ahead of the
+** virtual time, so that it is not put first again when its workspace
+** returns. */
 static void *take(pw_queue *q, flow *f, int i) {
   void *job = f->item[i].job;
   f->tokens -= f->item[i].cost;
@@ -110,7 +111,7 @@
   return job;
 }
 
-/* The flow that holds most tokens for its weight. */
+/* The flow with the most tokens for its weight. */
 static flow *largest(const pw_queue *q) {
   flow *most = NULL;
   for (flow *f = q->flows; f; f = f->hh.next)
@@ -150,7 +151,7 @@
   return 1;
 }
 
-/* Flows that were kept only for their virtual time go once it has passed. */
+/* Drops empty flows whose virtual time has passed. */
 static void sweep(pw_queue *q) {
   flow *f, *tmp;
   HASH_ITER(hh, q->flows, f, tmp) {
@@ -208,7 +209,7 @@
       weights += f->weight;
     }
   }
-  /* Others go before it only as far as their share while its own drain. */
+  /* Of the others, only their share goes first while the workspace's own drain. */
   double share = weights > 0 ? weight / weights : 1;
   double fair = own / share - own;
   return own + (others < fair ? others : fair);
--- a/packages/policy/pwrollout.c
+++ b/packages/policy/pwrollout.c
@@ -1,10 +1,11 @@
-/* pwrollout.c: how a new version of a model takes over from the old one. */
+/* pwrollout.c: gradual rollout of a new version of a model, with rollback. */
 #include "pwrollout.h"
 
 #include <string.h>
 
 #define ALL 100.0
-/* Chats are told apart to a hundredth of a percent. */
+
+/* Resolution of the share: a hundredth of a percent. */
 #define SHARE_UNIT 10000
 
 static const char *const states[] = {"done", "rolling", "rolled-back"};
@@ -20,8 +21,8 @@
   return whys[w];
 }
 
-/* Place of a name in a list, 0 when it is not there. */
-static int place_of(const char *const *names, int n, const char *name) {
+/* Index of a name in a list, 0 when it is not there. */
+static int index_of(const char *const *names, int n, const char *name) {
   for (int i = 0; i < n; i++)
     if (!strcmp(names[i], name))
       return i;
@@ -29,11 +30,11 @@
 }
 
 pw_rollout_state pwrollout_state_of(const char *name) {
-  return (pw_rollout_state)place_of(states, STATES, name);
+  return (pw_rollout_state)index_of(states, STATES, name);
 }
 
 pw_rollout_why pwrollout_why_of(const char *name) {
-  return (pw_rollout_why)place_of(whys, WHYS, name);
+  return (pw_rollout_why)index_of(whys, WHYS, name);
 }
 
 static void set_version(char out[PW_NAME_MAX], const char *version) {
@@ -44,22 +45,22 @@
   out[n] = 0;
 }
 
-double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *ask) {
+double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *in) {
   if (r->state == PW_ROLLOUT_BACK)
     return 0;
-  if (r->state == PW_ROLLOUT_DONE || r->step >= ask->nsteps)
+  if (r->state == PW_ROLLOUT_DONE || r->step >= in->nsteps)
     return ALL;
-  return ask->step[r->step];
+  return in->step[r->step];
 }
 
-/* The operator names another version than the one under way. */
-static void begin(const pw_rollout *r, const pw_rollout_ask *ask,
+/* Begins the rollout of the version that the operator names. */
+static void begin(const pw_rollout *r, const pw_rollout_ask *in,
                   pw_rollout *out) {
   int taken_over = r->state == PW_ROLLOUT_DONE || r->share >= ALL;
   const char *stable = taken_over ? r->to : r->from;
-  int at_once = !strcmp(stable, ask->wanted) || ask->is_new;
-  *out = (pw_rollout){.asked = ask->asked};
-  set_version(out->to, ask->wanted);
+  int at_once = !strcmp(stable, in->wanted) || in->is_new;
+  *out = (pw_rollout){.asked = in->asked};
+  set_version(out->to, in->wanted);
   out->state = at_once ? PW_ROLLOUT_DONE : PW_ROLLOUT_ROLLING;
   out->share = at_once ? ALL : 0;
   if (!at_once)
@@ -70,43 +71,44 @@
   return failed > 0 ? failed / (done + failed) : 0;
 }
 
-/* Errors of the old version in the same time are not held against the new. */
-static int errs_too_often(const pw_rollout_ask *ask) {
+/* The error rate of the old version in the same time is allowed in addition. */
+static int errs_too_often(const pw_rollout_ask *in) {
   double allowed =
-      ask->max_errors + failed_share(ask->done_from, ask->failed_from);
-  return failed_share(ask->done_to, ask->failed_to) > allowed;
+      in->max_errors + failed_share(in->done_from, in->failed_from);
+  return failed_share(in->done_to, in->failed_to) > allowed;
 }
 
-static int has_errors(const pw_rollout_ask *ask) {
-  return ask->failed_to >= PWROLLOUT_ERRORS_LEAST && errs_too_often(ask);
+static int has_errors(const pw_rollout_ask *in) {
+  return in->failed_to >= PWROLLOUT_ERRORS_LEAST && errs_too_often(in);
 }
 
-/* A step is not over while there are errors, however few. An idle model goes on
-** in time, but for its last step: there it waits for requests, and can still go
-** back when the first ones fail. */
-static int step_is_over(const pw_rollout_ask *ask, double goal) {
-  if (ask->in_step < ask->step_ms || errs_too_often(ask))
+/* A step does not end while the error rate is too high, however few the
+** errors. An idle model continues after some time, except for its last step:
+** that one waits for requests, so that it can still be rolled back when the
+** first ones fail. */
+static int step_is_over(const pw_rollout_ask *in, double goal) {
+  if (in->in_step < in->step_ms || errs_too_often(in))
     return 0;
-  if (ask->done_to + ask->failed_to >= ask->min_requests)
+  if (in->done_to + in->failed_to >= in->min_requests)
     return 1;
-  return goal < ALL && ask->in_step >= PWROLLOUT_PATIENCE * ask->step_ms;
+  return goal < ALL && in->in_step >= PWROLLOUT_PATIENCE * in->step_ms;
 }
 
-static int give_up(pw_rollout *out, pw_rollout_why why) {
+static int roll_back(pw_rollout *out, pw_rollout_why why) {
   out->state = PW_ROLLOUT_BACK;
   out->why = why;
   out->share = 0;
   return 1;
 }
 
-static int go_on(const pw_rollout_ask *ask, pw_rollout *out) {
-  double goal = pwrollout_goal(out, ask);
-  double share = ask->ready < goal ? ask->ready : goal;
+static int advance(const pw_rollout_ask *in, pw_rollout *out) {
+  double goal = pwrollout_goal(out, in);
+  double share = in->ready < goal ? in->ready : goal;
   if (share > out->share) {
     out->share = share;
     return 1;
   }
-  if (out->share < goal || !step_is_over(ask, goal))
+  if (out->share < goal || !step_is_over(in, goal))
     return 0;
   if (goal >= ALL)
     out->state = PW_ROLLOUT_DONE;
@@ -115,21 +117,21 @@
   return 1;
 }
 
-int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *ask,
+int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *in,
                    pw_rollout *out) {
   *out = *r;
-  int again = r->state == PW_ROLLOUT_BACK && ask->asked != r->asked;
-  if (strcmp(r->to, ask->wanted) != 0 || again) {
-    begin(r, ask, out);
+  int again = r->state == PW_ROLLOUT_BACK && in->asked != r->asked;
+  if (strcmp(r->to, in->wanted) != 0 || again) {
+    begin(r, in, out);
     return 1;
   }
   if (r->state != PW_ROLLOUT_ROLLING)
     return 0;
-  if (ask->loads_failed >= PWROLLOUT_LOADS_FAILED)
-    return give_up(out, PW_ROLLOUT_WHY_LOADS);
-  if (has_errors(ask))
-    return give_up(out, PW_ROLLOUT_WHY_ERRORS);
-  return go_on(ask, out);
+  if (in->loads_failed >= PWROLLOUT_LOADS_FAILED)
+    return roll_back(out, PW_ROLLOUT_WHY_LOADS);
+  if (has_errors(in))
+    return roll_back(out, PW_ROLLOUT_WHY_ERRORS);
+  return advance(in, out);
 }
 
 int pwrollout_takes(double share, uint64_t chat) {
--- a/packages/policy/pwrollout.h
+++ b/packages/policy/pwrollout.h
@@ -1,11 +1,12 @@
-/* pwrollout.h: how a new version of a model takes over from the old one.
+/* pwrollout.h: gradual rollout of a new version of a model, with rollback.
 **
-** A version takes a share of the chats that grows by declared steps. A step
-** lasts a set time and a set number of requests; errors past a set share, or
-** loads that fail at several targets, end it: the old version takes all chats
-** again, and the new one is not tried anew until the operator asks again. With
-** no requests a step ends in time, so that targets are exchanged while a model
-** sleeps and not when its callers arrive; the last step waits for them. */
+** The new version takes a share of the chats that grows in declared steps. A
+** step lasts a set time and a set number of requests. Too many errors, or
+** loads that fail at several targets, end the rollout: the old version takes
+** all chats again, and the new one is not tried again until the operator asks
+** for it. Without requests a step ends after some time, so that targets are
+** exchanged while a model is idle and not when its callers arrive; only the
+** last step waits for requests. */
 #ifndef PWROLLOUT_H
 #define PWROLLOUT_H
 
@@ -13,18 +14,18 @@
 
 #include <stdint.h>
 
-#define PWROLLOUT_STEPS 16      /* most steps of one version */
-#define PWROLLOUT_STEP_MS 10000 /* default length of a step */
-#define PWROLLOUT_REQUESTS 20   /* default requests a step waits for */
-#define PWROLLOUT_ERRORS 0.02   /* default share of errors allowed */
-#define PWROLLOUT_PATIENCE 6    /* an idle model's step lasts this many times */
-#define PWROLLOUT_ERRORS_LEAST 5 /* fewer failures than this prove nothing */
-#define PWROLLOUT_LOADS_FAILED 3 /* targets at which the load may not fail */
+#define PWROLLOUT_STEPS 16       /* most steps of one version */
+#define PWROLLOUT_STEP_MS 10000  /* default length of a step */
+#define PWROLLOUT_REQUESTS 20    /* default number of requests of a step */
+#define PWROLLOUT_ERRORS 0.02    /* default error rate allowed */
+#define PWROLLOUT_PATIENCE 6     /* factor on the length of an idle step */
+#define PWROLLOUT_ERRORS_LEAST 5 /* fewer failures are no evidence */
+#define PWROLLOUT_LOADS_FAILED 3 /* targets with a failed load that end it */
 
 typedef enum pw_rollout_state {
   PW_ROLLOUT_DONE,
   PW_ROLLOUT_ROLLING,
-  PW_ROLLOUT_BACK /* given up: `from` serves all chats */
+  PW_ROLLOUT_BACK /* rolled back: `from` serves all chats */
 } pw_rollout_state;
 
 typedef enum pw_rollout_why {
@@ -34,16 +35,16 @@
 } pw_rollout_why;
 
 typedef struct pw_rollout {
-  char from[PW_NAME_MAX]; /* "": as the target came, without a version */
+  char from[PW_NAME_MAX]; /* "": what targets had at first, without a version */
   char to[PW_NAME_MAX];
   int step;
   double share; /* percent of the chats that go to `to` */
   pw_rollout_state state;
   pw_rollout_why why;
-  uint64_t asked; /* version of the model's resource that asked for it */
+  uint64_t asked; /* version of the model's resource that requested it */
 } pw_rollout;
 
-/* What the operator wants, and what was seen since the step's share came in
+/* What the operator wants, and what was seen since the step's share came into
 ** force. */
 typedef struct pw_rollout_ask {
   const char *wanted; /* version that the model names */
@@ -57,21 +58,22 @@
   double ready; /* percent of the serving targets that serve `to` */
   double done_to, failed_to, done_from, failed_from;
   int loads_failed; /* targets at which the load of `to` failed */
-  int64_t in_step;  /* ms since the step's share came in force */
+  int64_t in_step;  /* ms since the step's share came into force */
 } pw_rollout_ask;
 
-/* The percentage a step goes up to. */
-double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *ask);
+/* The share, in percent, at which the current step ends. */
+double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *in);
 
-/* Decides what comes next. Gives 1 and fills out when something changes. */
-int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *ask,
+/* Decides on the next state. Returns 1 and fills in *out if anything
+** changes. */
+int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *in,
                    pw_rollout *out);
 
 /* Whether a chat (its hash) belongs to the share. Chats only ever join a
-** growing share: none goes back and forth between two versions. */
+** growing share: none moves back and forth between two versions. */
 int pwrollout_takes(double share, uint64_t chat);
 
-/* Names for the state and the reason. */
+/* Names of the state and the reason, and back. */
 const char *pwrollout_state_name(pw_rollout_state s);
 const char *pwrollout_why_name(pw_rollout_why w);
 pw_rollout_state pwrollout_state_of(const char *name);
