--- a/tests/test_canary.c
+++ b/tests/test_canary.c
@@ -1,9 +1,9 @@
-/* test_canary.c: roll-outs of services: how often a version that is as good as the old one is
-** reverted, and how often and how soon one that is worse.
+/* test_canary.c: rollouts of services: how often a version that is as good as
+** the old one is reverted, and how often and how soon a worse one.
 **
-** The loads: some hundred answers of the new version's targets, of which one that is bad fails
-** 2, 5 or 20 in 100, or has them come 1.5 to 4 times slower; at once, later, under load alone, on one
-** route alone. */
+** The cases: some hundred answers of the new version's targets, of which a bad
+** version fails 2, 5 or 20 in 100, or delays them 1.5 to 4 times; at once,
+** later, only under load, or on one route. */
 #include "pwcanary.h"
 #include "pwtest.h"
 
@@ -14,23 +14,25 @@
 #define TICK_MS 250
 #define ROUTES 3
 
-/* A version as the model has it. */
+/* The new version in the simulation. */
 typedef struct version {
-  double bad;      /* share of bad answers, above what is usual */
-  int from_ms;     /* it turns bad then */
-  int route;       /* on this one alone; -1: on all */
-  int under_share; /* while it has at least this share */
+  double bad;      /* share of bad answers, above the baseline */
+  int from_ms;     /* it is bad from then on */
+  int route;       /* it is bad on this route only; -1: on all */
+  int under_share; /* it is bad while it has at least this share */
 } version;
 
 typedef struct result {
   pw_canary end;
   int64_t at_ms;
-  double exposed, asked; /* requests that it got, and all */
+  double exposed, requests; /* requests to the new version, and all */
 } result;
 
-static double usual[ROUTES] = {0.002, 0.05, 0.14};
+/* Error rates of the old version. */
+static double baseline[ROUTES] = {0.002, 0.05, 0.14};
 
-static double draw_many(pw_random *r, double mean) {
+/* Random number of requests with that mean. */
+static double draw_requests(pw_random *r, double mean) {
   double u = 0;
   for (int i = 0; i < 12; i++)
     u += pwrand_unit(r);
@@ -38,6 +40,7 @@
   return n > 0 ? floor(n + 0.5) : 0;
 }
 
+/* Random number of bad answers of n. */
 static double draw_bad(pw_random *r, double n, double p) {
   double bad = 0;
   for (int i = 0; i < (int)n; i++)
@@ -45,43 +48,44 @@
   return bad;
 }
 
+/* The answers of one tick. */
 static void answer(pw_random *r, const version *v, const pw_canary *c,
-                   int64_t now, double a_second, pw_canary_route *route,
+                   int64_t now, double rate, pw_canary_route *route,
                    result *out) {
   for (int i = 0; i < ROUTES; i++) {
-    double n = draw_many(r, a_second * TICK_MS / 1000 / ROUTES);
+    double n = draw_requests(r, rate * TICK_MS / 1000 / ROUTES);
     double to = draw_bad(r, n, (double)c->share / PWCANARY_ALL);
     int is_bad = now >= v->from_ms && (v->route < 0 || v->route == i) &&
                  c->share >= v->under_share;
-    double p = usual[i] + (is_bad ? v->bad * (1 - usual[i]) : 0);
+    double p = baseline[i] + (is_bad ? v->bad * (1 - baseline[i]) : 0);
     double bad_to = draw_bad(r, to, p);
-    double bad_from = draw_bad(r, n - to, usual[i]);
+    double bad_from = draw_bad(r, n - to, baseline[i]);
     route[i].bad_to += bad_to;
     route[i].good_to += to - bad_to;
     route[i].bad_from += bad_from;
     route[i].good_from += n - to - bad_from;
     out->exposed += to;
-    out->asked += n;
+    out->requests += n;
   }
 }
 
-static result play(uint64_t seed, const version *v, double a_second) {
+static result play(uint64_t seed, const version *v, double rate) {
   pw_random r = {.seed = seed};
   pw_canary c = {0};
   pw_canary_route route[ROUTES] = {{0}};
   result out = {0};
   int64_t since = 0;
   for (int64_t now = 0; now < 2 * OVER_MS; now += TICK_MS) {
-    pw_canary_ask ask = {.over_ms = OVER_MS,
-                         .elapsed_ms = now,
-                         .in_share_ms = now - since,
-                         .slots_to = now > 1000 ? 100 : 0,
-                         .slots_from = 100,
-                         .expose_share = 0.1,
-                         .route = route,
-                         .nroutes = ROUTES};
+    pw_canary_ask in = {.over_ms = OVER_MS,
+                        .elapsed_ms = now,
+                        .in_share_ms = now - since,
+                        .slots_to = now > 1000 ? 100 : 0,
+                        .slots_from = 100,
+                        .expose_share = 0.1,
+                        .route = route,
+                        .nroutes = ROUTES};
     pw_canary next;
-    if (pwcanary_next(&c, &ask, &next)) {
+    if (pwcanary_next(&c, &in, &next)) {
       if (next.share != c.share)
         since = now;
       c = next;
@@ -89,28 +93,29 @@
     out.at_ms = now;
     if (c.state != PWCANARY_RUNNING)
       break;
-    answer(&r, v, &c, now, a_second, route, &out);
+    answer(&r, v, &c, now, rate, route, &out);
   }
   out.end = c;
   return out;
 }
 
 typedef struct figures {
-  double reverted, complete, over; /* share of all; exposed past the bound */
-  double late;                     /* complete after the deadline */
+  /* Shares of all rollouts. */
+  double reverted, complete;
+  double over; /* a bad version got more requests than allowed */
+  double late; /* decided after the deadline */
 } figures;
 
 #define EXPOSE_SLACK 50
 
-static figures play_many(const char *name, version v, double a_second,
-                         int times) {
+static figures play_many(const char *name, version v, double rate, int times) {
   figures f = {0};
   for (int i = 0; i < times; i++) {
-    result r = play((uint64_t)i + 1, &v, a_second);
+    result r = play((uint64_t)i + 1, &v, rate);
     f.reverted += r.end.state == PWCANARY_REVERTED;
     f.complete += r.end.state == PWCANARY_COMPLETE;
     f.late += r.at_ms > OVER_MS;
-    f.over += r.exposed > 0.1 * r.asked + EXPOSE_SLACK;
+    f.over += r.exposed > 0.1 * r.requests + EXPOSE_SLACK;
   }
   f.reverted /= times;
   f.complete /= times;
@@ -118,7 +123,7 @@
   f.late /= times;
   printf("%-28s %5.0f a second: reverted %.4f complete %.4f late %.4f exposed "
          "past the bound %.4f\n",
-         name, a_second, f.reverted, f.complete, f.late, f.over);
+         name, rate, f.reverted, f.complete, f.late, f.over);
   return f;
 }
 
@@ -168,8 +173,6 @@
   CHECK(f.over < 0.05);
 }
 
-/* Answers until a version is bad whose answers are so, on one route of which 2,000 of the old one
-** are known; the median of some draws. */
 static int by_size(const void *a, const void *b) {
   return *(const int *)a - *(const int *)b;
 }
@@ -177,15 +180,18 @@
 #define DRAWS 101
 #define ANSWERS_MAX 20000
 
-static int answers_until(double usual_bad, double worse_by) {
+/* Answers needed until a version that is worse by that share is found bad, on
+** one route with 2,000 answers of the old version; median of DRAWS. */
+static int answers_until(double baseline_bad, double worse_by) {
   int n[DRAWS];
-  pw_canary_route from = {.good_from = 2000 * (1 - usual_bad),
-                          .bad_from = 2000 * usual_bad};
+  pw_canary_route from = {.good_from = 2000 * (1 - baseline_bad),
+                          .bad_from = 2000 * baseline_bad};
   for (int i = 0; i < DRAWS; i++) {
     pw_random r = {.seed = (uint64_t)i + 1};
     pw_canary_route route = from;
     for (n[i] = 0; n[i] < ANSWERS_MAX; n[i]++) {
-      int is_bad = pwrand_unit(&r) < usual_bad + worse_by * (1 - usual_bad);
+      int is_bad =
+          pwrand_unit(&r) < baseline_bad + worse_by * (1 - baseline_bad);
       *(is_bad ? &route.bad_to : &route.good_to) += 1;
       if (pwcanary_ratio(&route, 1) >= PWCANARY_BAD)
         break;
@@ -200,10 +206,11 @@
   for (int i = 0; i < ROUTES; i++) {
     int needed[3];
     for (int k = 0; k < 3; k++)
-      needed[k] = answers_until(usual[i], worse_by[k]);
-    printf("usual %.3f: 20 in 100 worse after %d answers, 5 after %d, 2 after "
-           "%d\n",
-           usual[i], needed[0], needed[1], needed[2]);
+      needed[k] = answers_until(baseline[i], worse_by[k]);
+    printf(
+        "baseline %.3f: 20 in 100 worse after %d answers, 5 after %d, 2 after "
+        "%d\n",
+        baseline[i], needed[0], needed[1], needed[2]);
     CHECK(needed[0] < needed[1] && needed[1] < needed[2]);
     CHECK(needed[0] < 150);
   }
@@ -211,7 +218,8 @@
 
 /* --- steps --- */
 
-static pw_canary_ask calm(int64_t elapsed) {
+/* A rollout with enough slots and nothing against the version. */
+static pw_canary_ask healthy(int64_t elapsed) {
   return (pw_canary_ask){.over_ms = OVER_MS,
                          .elapsed_ms = elapsed,
                          .in_share_ms = 10000,
@@ -222,46 +230,46 @@
 
 static void test_steps(void) {
   pw_canary c = {0}, next;
-  pw_canary_ask ask = calm(100);
-  ask.slots_to = 0;
-  CHECK(!pwcanary_next(&c, &ask, &next)); /* its targets are not there yet */
-  ask = calm(1000);
-  CHECK(pwcanary_next(&c, &ask, &next) && next.share == 90);
-  ask.expose_share = 0.02; /* the operator allows less */
-  CHECK(pwcanary_next(&c, &ask, &next) && next.share == 18);
+  pw_canary_ask in = healthy(100);
+  in.slots_to = 0;
+  CHECK(!pwcanary_next(&c, &in, &next)); /* it has no targets yet */
+  in = healthy(1000);
+  CHECK(pwcanary_next(&c, &in, &next) && next.share == 90);
+  in.expose_share = 0.02; /* the operator allows less */
+  CHECK(pwcanary_next(&c, &in, &next) && next.share == 18);
   c.share = 90;
-  ask = calm(5000);
-  CHECK(!pwcanary_next(&c, &ask, &next));
-  ask = calm(9000);
-  CHECK(pwcanary_next(&c, &ask, &next) && next.share == PWCANARY_TRIAL_SHARE);
-  ask.slots_to = 5; /* too few for all of it */
-  CHECK(!pwcanary_next(&c, &ask, &next));
+  in = healthy(5000);
+  CHECK(!pwcanary_next(&c, &in, &next));
+  in = healthy(9000);
+  CHECK(pwcanary_next(&c, &in, &next) && next.share == PWCANARY_TRIAL_SHARE);
+  in.slots_to = 5; /* too few for all requests */
+  CHECK(!pwcanary_next(&c, &in, &next));
   c.share = PWCANARY_TRIAL_SHARE;
-  ask = calm(9200);
-  ask.in_share_ms = 200;
-  CHECK(!pwcanary_next(&c, &ask, &next));
-  ask.in_share_ms = 600;
-  CHECK(pwcanary_next(&c, &ask, &next) && next.share == PWCANARY_ALL);
+  in = healthy(9200);
+  in.in_share_ms = 200;
+  CHECK(!pwcanary_next(&c, &in, &next));
+  in.in_share_ms = 600;
+  CHECK(pwcanary_next(&c, &in, &next) && next.share == PWCANARY_ALL);
   c.share = PWCANARY_ALL;
-  ask = calm(11000);
-  CHECK(!pwcanary_next(&c, &ask, &next)); /* what runs at the old ones ends */
-  ask = calm(11400);
-  CHECK(pwcanary_next(&c, &ask, &next));
+  in = healthy(11000);
+  CHECK(!pwcanary_next(&c, &in, &next)); /* requests at the old targets end */
+  in = healthy(11400);
+  CHECK(pwcanary_next(&c, &in, &next));
   CHECK(next.state == PWCANARY_COMPLETE && next.share == PWCANARY_ALL);
-  CHECK(!pwcanary_next(&next, &ask, &c));
+  CHECK(!pwcanary_next(&next, &in, &c));
 }
 
-static void test_back_at_any_share(void) {
+static void test_reverts_at_any_share(void) {
   pw_canary_route bad = {.good_to = 100, .bad_to = 30, .good_from = 1000};
   for (int share = 0; share <= PWCANARY_ALL; share += 50) {
     pw_canary c = {.share = share}, next;
-    pw_canary_ask ask = calm(9000);
-    ask.route = &bad;
-    ask.nroutes = 1;
-    CHECK(pwcanary_next(&c, &ask, &next));
+    pw_canary_ask in = healthy(9000);
+    in.route = &bad;
+    in.nroutes = 1;
+    CHECK(pwcanary_next(&c, &in, &next));
     CHECK(next.state == PWCANARY_REVERTED && next.share == 0);
     pw_canary again;
-    CHECK(!pwcanary_next(&next, &ask, &again)); /* for good */
+    CHECK(!pwcanary_next(&next, &in, &again)); /* it stays reverted */
   }
 }
 
@@ -270,13 +278,13 @@
       .good_to = 60, .bad_to = 5, .good_from = 300, .bad_from = 3};
   double ratio = pwcanary_ratio(&doubt, 1);
   pw_canary c = {.share = 90}, next;
-  pw_canary_ask ask = calm(9000);
+  pw_canary_ask in = healthy(9000);
   CHECK(ratio > PWCANARY_DOUBT && ratio < PWCANARY_BAD);
-  ask.route = &doubt;
-  ask.nroutes = 1;
-  CHECK(!pwcanary_next(&c, &ask, &next)); /* it gets no more ... */
-  ask.elapsed_ms = 10500;
-  CHECK(pwcanary_next(&c, &ask, &next)); /* ... and the time is over */
+  in.route = &doubt;
+  in.nroutes = 1;
+  CHECK(!pwcanary_next(&c, &in, &next)); /* its share does not grow */
+  in.elapsed_ms = 10500;
+  CHECK(pwcanary_next(&c, &in, &next)); /* near the deadline it is reverted */
   CHECK(next.state == PWCANARY_REVERTED);
 }
 
@@ -300,7 +308,7 @@
     times = atoi(argv[1]);
   TESTS_BEGIN("canary");
   TEST(test_steps);
-  TEST(test_back_at_any_share);
+  TEST(test_reverts_at_any_share);
   TEST(test_in_doubt);
   TEST(test_targets);
   TEST(test_answers_needed);
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -1,9 +1,12 @@
-/* test_mesh.c: control instances that tell each other of targets: whatever is lost on the way,
-** what one says it has it has, and what was acknowledged comes to all members.
+/* test_mesh.c: updates on targets between control instances: whatever messages
+** are lost, an instance has what it claims to have, and what was acknowledged
+** reaches all members.
 **
-** A day with ten control instances, of which nine are a group's members: what targets said to the
-** tenth was known to it alone. Its log has `ev=target-leaving` for a target that no other log
-** names as leaving, and the target got requests 4.8 s after it was acknowledged. */
+** It guards against this failure: of ten control instances nine are members of
+** the group, and what targets report to the tenth is known to it alone. The
+** tenth logs `ev=target-leaving` for a target that no other instance takes as
+** leaving, and the target still gets requests 4.8 s after its leave was
+** acknowledged. */
 #include "pwmesh.h"
 #include "pwtest.h"
 
@@ -13,17 +16,17 @@
 #define MEMBERS 9
 #define TARGETS 60
 #define STEP_MS 50
-#define TELL_MS 250
+#define UPDATE_MS 250
 #define WATCH_MS 500
 #define ASK_ALL_MS 2000
 #define SECOND_MS 1000
 #define RESTART_MS (7 * SECOND_MS) /* between two restarts */
-#define NEWS_MAX 4000
+#define UPDATES_MAX 4000
 #define QUEUE_MAX 60000
 
-/* --- numbers --- */
+/* --- sequence numbers --- */
 
-static void test_numbers(void) {
+static void test_sequence_numbers(void) {
   pw_telling t = {0};
   pwtelling_take(&t, 7, 0, 0, 1);
   CHECK(t.is_whole && pwtelling_has(&t) == 0);
@@ -31,19 +34,19 @@
   pwtelling_take(&t, 7, 2, 1, 0);
   pwtelling_take(&t, 7, 2, 0, 0);
   CHECK(pwtelling_has(&t) == 2);
-  pwtelling_take(&t, 7, 2, 1, 0); /* twice */
+  pwtelling_take(&t, 7, 2, 1, 0); /* a duplicate */
   CHECK(pwtelling_has(&t) == 2);
   pwtelling_take(&t, 7, 4, 1, 0); /* 3 was lost */
   CHECK(!t.is_whole && pwtelling_has(&t) == 0);
-  pwtelling_take(&t, 7, 2, 0, 1); /* a table from before */
+  pwtelling_take(&t, 7, 2, 0, 1); /* a table from before the gap */
   CHECK(!t.is_whole);
   pwtelling_take(&t, 7, 3, 0, 1);
   CHECK(pwtelling_has(&t) == 4);
-  pwtelling_take(&t, 7, 5, 0, 0); /* 5 was lost, and nothing came since */
+  pwtelling_take(&t, 7, 5, 0, 0); /* 5 was lost, and no update followed */
   CHECK(!t.is_whole);
   pwtelling_take(&t, 7, 5, 0, 1);
   CHECK(pwtelling_has(&t) == 5);
-  pwtelling_take(&t, 8, 1, 1, 0); /* it has started again */
+  pwtelling_take(&t, 8, 1, 1, 0); /* the sender has restarted */
   CHECK(!t.is_whole);
 }
 
@@ -70,7 +73,7 @@
   CHECK(!pwmesh_watched(&m, addr[0], 1, 0)); /* itself */
   pwmesh_group(&m, addr, MEMBERS, 1, PWMESH_FORGET_MS);
   pwmesh_tick(&m, PWMESH_FORGET_MS);
-  CHECK(m.n == MEMBERS - 1); /* the observer has gone */
+  CHECK(m.n == MEMBERS - 1); /* the observer was dropped */
   pwmesh_free(&m);
 
   pwmesh_init(&m, "tcp://10.0.0.99:1");
@@ -98,7 +101,8 @@
   pwmesh_free(&m);
 }
 
-/* Watches that n instances send in one round, of which nine are members. */
+/* Number of watches that n instances, of which nine are members, send in one
+** round. */
 static int watches(int n) {
   char addr[INSTANCES][PW_NAME_MAX];
   int sum = 0;
@@ -117,7 +121,7 @@
   return sum;
 }
 
-static void test_grows_with_observers(void) {
+static void test_watches_grow_with_observers(void) {
   int per_observer = watches(11) - watches(10);
   CHECK(per_observer == 2 * MEMBERS);
   CHECK(watches(24) - watches(10) == 14 * per_observer);
@@ -128,31 +132,31 @@
       48 * 47);
 }
 
-/* --- the model: instances, messages that are lost, late, doubled, in another order --- */
+/* --- simulation: messages that are lost, late, duplicated or reordered --- */
 
 typedef enum kind { NOTICE, TABLE, WATCH } kind;
 
 typedef struct message {
   kind kind;
   int from, to;
-  int64_t at; /* it arrives, ms */
+  int64_t at; /* when it arrives, ms */
   uint64_t life, number;
-  int has_news;
-  uint64_t news[TARGETS]; /* version of each target's end; 0: nothing told */
+  int has_update;
+  uint64_t update[TARGETS]; /* version of each target's leave; 0: none */
   int for_all;
   uint64_t holds, holds_of;
 } message;
 
 typedef struct instance {
   pw_mesh mesh;
-  int is_up, was_told[INSTANCES]; /* who watches this one for all */
+  int is_up, watches[INSTANCES]; /* who watches it for all */
   uint64_t life, number;
   uint64_t known[TARGETS];
   uint64_t outbox[TARGETS];
-  uint64_t told[NEWS_MAX][2]; /* target and version by number of this life */
-  int ntold;
-  uint64_t told_number[NEWS_MAX];
-  int64_t told_at, asked_all_at[INSTANCES];
+  uint64_t sent[UPDATES_MAX][2]; /* target and version of each update sent */
+  int nsent;
+  uint64_t sent_number[UPDATES_MAX];
+  int64_t updated_at, asked_all_at[INSTANCES];
 } instance;
 
 typedef struct model {
@@ -170,8 +174,8 @@
   } waiting[TARGETS];
   int nwaiting;
   uint64_t version;
-  int is_calm;
-  int faults; /* what was said to be held and is not */
+  int is_settling; /* no faults any more: the updates in flight arrive */
+  int faults;      /* updates that an instance claims to have and does not */
   int acks;
 } model;
 
@@ -197,12 +201,13 @@
   return -1;
 }
 
-/* One in ten is lost, one in twenty comes twice, each later than its turn. */
+/* One message in ten is lost, one in twenty comes twice, each with a random
+** delay. */
 static void send(model *m, message *msg) {
-  int copies = m->is_calm ? 1 : (int)pwrand_below(&m->r, 20);
-  copies = m->is_calm || copies > 2 ? 1 : copies == 2 ? 2 : 0;
+  int copies = m->is_settling ? 1 : (int)pwrand_below(&m->r, 20);
+  copies = m->is_settling || copies > 2 ? 1 : copies == 2 ? 2 : 0;
   for (int i = 0; i < copies && m->nqueue < QUEUE_MAX; i++) {
-    int64_t late = m->is_calm ? 1 : (int64_t)pwrand_below(&m->r, 400);
+    int64_t late = m->is_settling ? 1 : (int64_t)pwrand_below(&m->r, 400);
     msg->at = m->now + late;
     m->queue[m->nqueue++] = *msg;
   }
@@ -221,26 +226,26 @@
   return 0;
 }
 
-static void tell(model *m, int i) {
+static void send_update(model *m, int i) {
   instance *one = &m->i[i];
-  int has_news = has_outbox(one);
-  one->number += (uint64_t)has_news;
+  int has_update = has_outbox(one);
+  one->number += (uint64_t)has_update;
   for (int t = 0; t < TARGETS; t++)
-    if (one->outbox[t] && one->ntold < NEWS_MAX) {
-      one->told[one->ntold][0] = (uint64_t)t;
-      one->told[one->ntold][1] = one->outbox[t];
-      one->told_number[one->ntold++] = one->number;
+    if (one->outbox[t] && one->nsent < UPDATES_MAX) {
+      one->sent[one->nsent][0] = (uint64_t)t;
+      one->sent[one->nsent][1] = one->outbox[t];
+      one->sent_number[one->nsent++] = one->number;
     }
   for (int k = 0; k < m->n; k++) {
-    if (!one->was_told[k])
+    if (!one->watches[k])
       continue;
     message msg = from(m, i, k, NOTICE);
-    msg.has_news = has_news;
-    memcpy(msg.news, one->outbox, sizeof msg.news);
+    msg.has_update = has_update;
+    memcpy(msg.update, one->outbox, sizeof msg.update);
     send(m, &msg);
   }
   memset(one->outbox, 0, sizeof one->outbox);
-  one->told_at = m->now;
+  one->updated_at = m->now;
 }
 
 static void watch(model *m, int i, pw_mesh_peer *p, int for_all) {
@@ -269,15 +274,16 @@
   }
 }
 
-/* Who says that it has all up to a number has it: the promise to targets rests on it. */
+/* A watch claims to have all updates up to a number; acknowledgements to
+** targets depend on it. */
 static void check_holds(model *m, const message *w) {
   const instance *sender = &m->i[w->from];
-  const instance *teller = &m->i[w->to];
-  if (w->holds_of != teller->life || sender->life != w->life)
+  const instance *owner = &m->i[w->to];
+  if (w->holds_of != owner->life || sender->life != w->life)
     return;
-  for (int i = 0; i < teller->ntold; i++)
-    if (teller->told_number[i] <= w->holds)
-      m->faults += sender->known[teller->told[i][0]] < teller->told[i][1];
+  for (int i = 0; i < owner->nsent; i++)
+    if (owner->sent_number[i] <= w->holds)
+      m->faults += sender->known[owner->sent[i][0]] < owner->sent[i][1];
 }
 
 static void learn(model *m, int i, int t, uint64_t version) {
@@ -285,11 +291,11 @@
   if (version <= one->known[t])
     return;
   one->known[t] = version;
-  if (i < members_of(m)) /* it passes on what ends */
+  if (i < members_of(m)) /* members forward leaves */
     one->outbox[t] = version;
 }
 
-static void take_news(model *m, const message *msg) {
+static void receive_update(model *m, const message *msg) {
   instance *one = &m->i[msg->to];
   for (int k = 0; k < one->mesh.n; k++) {
     pw_mesh_peer *p = one->mesh.peer[k];
@@ -298,25 +304,25 @@
     if (pwmesh_watch_of(&one->mesh, p) != PWMESH_FOR_ALL)
       return;
     for (int t = 0; t < TARGETS; t++)
-      learn(m, msg->to, t, msg->news[t]);
-    pwtelling_take(&p->told, msg->life, msg->number, msg->has_news,
+      learn(m, msg->to, t, msg->update[t]);
+    pwtelling_take(&p->told, msg->life, msg->number, msg->has_update,
                    msg->kind == TABLE);
   }
 }
 
-static void take_watch(model *m, const message *msg) {
+static void receive_watch(model *m, const message *msg) {
   instance *one = &m->i[msg->to];
   pw_mesh_peer *p =
       pwmesh_watched(&one->mesh, m->addr[msg->from], msg->for_all, m->now);
   check_holds(m, msg);
   if (msg->holds_of == one->life)
     p->holds = msg->holds;
-  int begins = msg->for_all && !one->was_told[msg->from];
-  one->was_told[msg->from] = msg->for_all;
+  int begins = msg->for_all && !one->watches[msg->from];
+  one->watches[msg->from] = msg->for_all;
   if (!begins)
     return;
   message table = from(m, msg->to, msg->from, TABLE);
-  memcpy(table.news, one->known, sizeof table.news);
+  memcpy(table.update, one->known, sizeof table.update);
   send(m, &table);
 }
 
@@ -331,21 +337,22 @@
     if (!m->i[msg.to].is_up || !m->i[msg.from].is_up)
       continue;
     if (msg.kind == WATCH)
-      take_watch(m, &msg);
+      receive_watch(m, &msg);
     else
-      take_news(m, &msg);
+      receive_update(m, &msg);
   }
 }
 
-/* A target says to one instance that it ends, and waits. */
-static void hear(model *m) {
+/* A target reports to one instance that it leaves, and waits for the
+** acknowledgement. */
+static void leave(model *m) {
   int i = (int)pwrand_below(&m->r, (uint64_t)m->n);
   int t = (int)pwrand_below(&m->r, TARGETS);
   instance *one = &m->i[i];
   if (!one->is_up || m->nwaiting == TARGETS)
     return;
   if (i >= members_of(m) && !pwmesh_is_heard(&one->mesh, m->now))
-    return; /* it turns to another */
+    return; /* the target tries another instance */
   one->known[t] = one->outbox[t] = ++m->version;
   m->waiting[m->nwaiting].at = i;
   m->waiting[m->nwaiting].target = t;
@@ -374,7 +381,7 @@
   }
 }
 
-static void fail(model *m) {
+static void restart_one(model *m) {
   if (m->now < m->restart_at)
     return;
   m->restart_at = m->now + RESTART_MS;
@@ -385,16 +392,16 @@
   m->now += STEP_MS;
   deliver(m);
   acknowledge(m);
-  if (!m->is_calm) {
-    fail(m);
-    hear(m);
+  if (!m->is_settling) {
+    restart_one(m);
+    leave(m);
   }
   for (int i = 0; i < m->n; i++) {
     instance *one = &m->i[i];
     pwmesh_group(&one->mesh, m->addr, members_of(m), i < members_of(m), m->now);
     pwmesh_tick(&one->mesh, m->now);
-    if (m->now - one->told_at >= TELL_MS)
-      tell(m, i);
+    if (m->now - one->updated_at >= UPDATE_MS)
+      send_update(m, i);
     watch_others(m, i);
   }
 }
@@ -419,7 +426,7 @@
     start(m, i);
   while (m->now < (int64_t)seconds * SECOND_MS)
     step(m);
-  m->is_calm = 1;
+  m->is_settling = 1;
   int64_t until = m->now + 8LL * SECOND_MS;
   while (m->now < until)
     step(m);
@@ -427,7 +434,7 @@
   CHECK(missing(m) == 0);
   CHECK(n == 1 || m->acks > 0);
   if (m->faults || missing(m))
-    printf("seed %llu, %d instances: %d false, %d missing of %d\n",
+    printf("seed %llu, %d instances: %d false claims, %d missing of %d\n",
            (unsigned long long)seed, n, m->faults, missing(m), m->acks);
   for (int i = 0; i < n; i++)
     pwmesh_free(&m->i[i].mesh);
@@ -452,10 +459,10 @@
   if (argc > 1)
     seeds = strtoull(argv[1], NULL, 10) / 50 + 1;
   TESTS_BEGIN("mesh");
-  TEST(test_numbers);
+  TEST(test_sequence_numbers);
   TEST(test_members_and_observers);
   TEST(test_limit);
-  TEST(test_grows_with_observers);
+  TEST(test_watches_grow_with_observers);
   TEST(test_model);
   TESTS_END();
 }
--- a/tests/test_pick.c
+++ b/tests/test_pick.c
@@ -1,10 +1,13 @@
-/* test_pick.c: how many requests find the target that has their prompt free, and how many reach one
-** that holds too much, while gateways see each other's requests late.
+/* test_pick.c: how many requests get the target that has their prompt cached,
+** and how many reach one that is overloaded, while gateways see each other's
+** requests late.
 **
-** On a calm day of 624 targets with 0.4 requests each, 1,381 GB of prompts were moved between
-** targets: a target with two requests in progress was taken for too busy (bound: 1.6 times the
-** mean and two), though it may hold three and twice the mean. What is kept free for requests that
-** are not seen yet is needed where many come before they are told; here hardly one does. */
+** It guards against this failure: 624 targets have 0.4 requests each, and
+** 1,381 GB of prompts are moved between them. A target with two requests in
+** progress is taken to be too busy (bound: 1.6 times the mean plus two),
+** though it may have twice the mean plus three. Room for requests that are not
+** visible yet is needed only where many arrive before they are reported; here
+** hardly one does. */
 #include "pwpick.h"
 #include "pwtest.h"
 
@@ -15,24 +18,22 @@
 #define STEP_MS 10
 #define STEPS 1500
 #define KEYS 2800
-#define BUSY_MAX 60 /* requests that one target is given at most */
+#define BUSY_MAX 60 /* most requests at one target */
 
 typedef struct load {
   int targets;
-  double a_second, work_ms, age_ms;
+  double rate, work_ms, age_ms;
 } load;
 
 typedef struct figures {
-  double
-      away; /* share of the requests that are not at their key's first target */
-  double
-      over; /* share that reaches one which holds more than twice the mean and three */
+  double away; /* share of the requests not at the first target of their key */
+  double over; /* share at a target with more than twice the mean plus three */
 } figures;
 
 typedef struct fleet {
   double ends[TARGETS_MAX][BUSY_MAX]; /* of requests in progress, ms */
-  int n[TARGETS_MAX];
-  int seen[STEPS + 1][TARGETS_MAX]; /* at the end of each step */
+  int n[TARGETS_MAX];                 /* requests in progress */
+  int seen[STEPS + 1][TARGETS_MAX];   /* n at the end of each step */
 } fleet;
 
 static void finish(fleet *f, int targets, double now) {
@@ -88,11 +89,11 @@
     finish(f, l->targets, now);
     for (int t = 0; t < l->targets; t++)
       row[t].load = step > age ? f->seen[step - age][t] : 0;
-    due += l->a_second * STEP_MS / 1000;
-    int come = (int)due;
-    due -= come;
-    requests += come;
-    for (int i = 0; i < come; i++)
+    due += l->rate * STEP_MS / 1000;
+    int arriving = (int)due;
+    due -= arriving;
+    requests += arriving;
+    for (int i = 0; i < arriving; i++)
       place(f, l, row, bound, &r, now, &out);
     memcpy(f->seen[step + 1], f->n, sizeof f->n);
   }
@@ -103,7 +104,7 @@
 }
 
 static double extra_of(const load *l) {
-  return pwpick_extra(l->a_second / l->targets, l->age_ms);
+  return pwpick_extra(l->rate / l->targets, l->age_ms);
 }
 
 static void test_few_requests_each(void) {
@@ -116,7 +117,7 @@
   CHECK(now.over < 0.01);
 }
 
-/* Many come before they are told: nothing changes. */
+/* Many requests arrive before they are visible: the bound stays as it was. */
 static void test_many_requests_each(void) {
   load l = {40, 523, 200, 150};
   figures before = play(&l, 2, 1), now = play(&l, extra_of(&l), 1);
