--- a/tests/test_gather.c
+++ b/tests/test_gather.c
@@ -1,22 +1,22 @@
-/* test_gather.c: when gateways hear that there is a configuration, while hundreds of targets come
-** back.
+/* test_gather.c: when gateways are notified of a configuration while hundreds
+** of targets return.
 **
-** After a loss of all, 358 gateways had their configuration 0.50 s after control had a leader:
-**   26.906 core-tln-a-1 ev=leader
-**   27.407 front-tln-a-2 ev=configuration version=33, 22 gateways between 27.04 and 27.44
-** News of targets came all the while, each telling was held for 2 ms a watcher after the one before
-** (716 ms), and that there is a configuration waited with them. */
+** It guards against this failure: after a loss of all targets, 358 gateways
+** get their configuration 0.50 s after control has a leader (at 26.906 s;
+** version 33 at 27.407 s, 22 gateways between 27.04 and 27.44 s). Changes of
+** targets arrive all the time, each update is delayed for 2 ms a watcher after
+** the one before (716 ms), and the notice of the configuration waits with
+** them. */
 #include "pwgather.h"
 #include "pwtest.h"
 
 typedef struct result {
-  int64_t
-      worst_ms; /* from when a configuration is there until gateways are told */
-  double messages; /* a second, of both kinds */
+  int64_t worst_ms; /* from a new configuration until gateways are notified */
+  double messages;  /* a second, of both kinds */
 } result;
 
-/* A target changes every 5 ms; a configuration comes at any time. `apart`: versions do not wait for
-** targets. */
+/* A target changes every 5 ms; a configuration may come at any time. `apart`:
+** notices of versions do not wait for updates on targets. */
 static result play(int relying, int others, int apart) {
   result out = {0};
   for (int64_t from = 1000; from < 3000; from += 7) {
@@ -43,7 +43,7 @@
   return out;
 }
 
-static void test_a_configuration_is_told_at_once(void) {
+static void test_configuration_is_announced_at_once(void) {
   result together = play(358, 0, 0), apart = play(358, 0, 1);
   printf("358 gateways: %lld ms together, %lld ms apart, %.0f messages a "
          "second\n",
@@ -54,7 +54,8 @@
   CHECK(apart.messages < 1.2 * together.messages);
 }
 
-/* Several configurations follow one another: still bounded. */
+/* The rate of messages is bounded, also when configurations follow one
+** another. */
 static void test_bounds(void) {
   CHECK(pwgather_versions_ms(0) == 30 && pwgather_targets_ms(0, 0) == 30);
   for (int n = 1; n <= 3000; n *= 2) {
@@ -69,7 +70,7 @@
 
 int main(void) {
   TESTS_BEGIN("gather");
-  TEST(test_a_configuration_is_told_at_once);
+  TEST(test_configuration_is_announced_at_once);
   TEST(test_bounds);
   TESTS_END();
 }
--- a/tests/test_hold.c
+++ b/tests/test_hold.c
@@ -1,8 +1,11 @@
-/* test_hold.c: callers that do not read what they asked for, and what a process holds for them.
+/* test_hold.c: limits on what a process buffers for callers that do not read
+** their answers.
 **
-** Of 1,000 callers that stop in the middle of their answers each was held 128 KB, and each request
-** that followed on such a connection was answered into the same buffer: more than the 160 MB that
-** a gateway has. A process past its memory is ended, with every caller's request. */
+** It guards against this failure: 1,000 callers stop in the middle of their
+** answers, 128 KB are buffered for each, and each following request on such a
+** connection is answered into the same buffer: more than the 160 MB that a
+** gateway has. A process that exceeds its memory is killed, with every
+** caller's request. */
 #include "pwclock.h"
 #include "pwconn.h"
 #include "pwhold.h"
@@ -19,7 +22,7 @@
 #define KB 1024UL
 #define MB (1024UL * 1024)
 
-/* --- the decision --- */
+/* --- limits --- */
 
 static void test_limits(void) {
   pw_hold none = pwhold_limits(0, 80 * MB);
@@ -40,10 +43,11 @@
   CHECK(before.stall_whole_ms == 1000);
 }
 
-/* Callers stop reading, some more in each step; each is sent more until it is held up. Gives
-** the most that was held: a piece for each past the budget, as it is looked at once a step. */
-static size_t most_held(size_t callers, size_t budget, size_t a_step,
-                        int is_bounded) {
+/* Callers stop reading, more of them in each step; each is sent data until it
+** is paused. Returns the most that was buffered: up to a piece for each caller
+** above the budget, as the limits are computed once a step. */
+static size_t most_buffered(size_t callers, size_t budget, size_t a_step,
+                            int is_bounded) {
   size_t *untaken = calloc(callers, sizeof *untaken);
   size_t held = 0, most = 0;
   pw_hold l = pwhold_limits(0, budget);
@@ -62,11 +66,12 @@
   return most;
 }
 
-static void test_many_that_stop(void) {
-  CHECK(most_held(1000, 80 * MB, 2 * KB, 0) > 120 * MB);
-  CHECK(most_held(1000, 80 * MB, 2 * KB, 1) < 80 * MB + 1000 * 2 * KB);
-  CHECK(most_held(4000, 80 * MB, 2 * KB, 1) < 80 * MB + 4000 * 2 * KB);
-  CHECK(most_held(100, 80 * MB, 2 * KB, 1) > 12 * MB); /* few lose nothing */
+static void test_many_stop_reading(void) {
+  CHECK(most_buffered(1000, 80 * MB, 2 * KB, 0) > 120 * MB);
+  CHECK(most_buffered(1000, 80 * MB, 2 * KB, 1) < 80 * MB + 1000 * 2 * KB);
+  CHECK(most_buffered(4000, 80 * MB, 2 * KB, 1) < 80 * MB + 4000 * 2 * KB);
+  CHECK(most_buffered(100, 80 * MB, 2 * KB, 1) >
+        12 * MB); /* a few callers keep their buffers */
 }
 
 /* --- over sockets --- */
@@ -76,8 +81,8 @@
 #define CALLERS (STOPPED + READING)
 #define PIECE (4 * KB)
 #define PIECES 100
-#define BUDGET (4 * MB) /* half of the memory: buffers double as they grow */
-#define BUFFER (8 * KB) /* of the kernel, for each */
+#define BUDGET (4 * MB) /* half of the memory, as buffers grow by doubling */
+#define BUFFER (8 * KB) /* kernel buffer of each connection */
 #define TURNS 20000
 
 typedef struct stream {
@@ -149,7 +154,7 @@
   CHECK(send(fd, text, strlen(text), MSG_NOSIGNAL) == (ssize_t)strlen(text));
 }
 
-/* Each stream has its next piece unless its caller holds it up. */
+/* Sends each stream its next piece unless it is paused by its caller. */
 static void feed(bed *b) {
   static const char piece[PIECE];
   for (int i = 0; i < b->nstreams; i++) {
@@ -191,9 +196,10 @@
   return 1;
 }
 
-/* Most callers read nothing: the others have all of theirs, and less than the memory is used,
-** where 128 KB for each would be three times as much. Time stands still for them until the
-** readers have had all; then those that took nothing are ended. */
+/* Most callers read nothing: the others get their whole answers, and less than
+** the memory is used; 128 KB for each would be three times as much. The clock
+** does not advance until the readers have everything; then the callers that
+** read nothing are disconnected. */
 static void test_most_do_not_read(void) {
   bed *b = calloc(1, sizeof *b);
   set_up(b, begin);
@@ -224,9 +230,9 @@
   pwconn_answer(c, 200, "", body, sizeof body);
 }
 
-/* A caller that sends requests and reads no answer: after some the next ones wait, and are
-** answered when it reads. */
-static void test_requests_without_end(void) {
+/* A caller sends requests and reads no answer: after some requests the next
+** ones wait, and are answered once it reads. */
+static void test_endless_requests(void) {
   bed *b = calloc(1, sizeof *b);
   set_up(b, answer);
   int fd = b->fd[0] = new_caller(b);
@@ -250,17 +256,19 @@
   free(b);
 }
 
-#define LONG_BODY (60 * KB) /* more than the kernel takes */
+#define LONG_BODY (60 * KB) /* more than the kernel buffers */
 
 static void answer_long(pw_conn *c) {
   static const char body[LONG_BODY];
   pwconn_answer(c, 200, "", body, sizeof body);
 }
 
-/* A caller was out of reach for six seconds while its answer, whole, waited for it, and lost it:
-** the line was `caller-stalled ms=5000 untaken_bytes=` with most of the memory free. It has the
-** answer once it reads again; only while memory is short is it ended as the others are. */
-static void test_whole_answer_waits(void) {
+/* It guards against this failure: a caller is unreachable for six seconds
+** while its complete answer is buffered, and loses it, with `caller-stalled
+** ms=5000 untaken_bytes=` logged and most of the memory free. It gets the
+** answer once it reads again, and is disconnected like others only while
+** memory is short. */
+static void test_complete_answer_is_kept(void) {
   char block[16 * KB];
   bed *b = calloc(1, sizeof *b);
   set_up(b, answer_long);
@@ -297,9 +305,9 @@
 int main(void) {
   TESTS_BEGIN("hold");
   TEST(test_limits);
-  TEST(test_many_that_stop);
+  TEST(test_many_stop_reading);
   TEST(test_most_do_not_read);
-  TEST(test_requests_without_end);
-  TEST(test_whole_answer_waits);
+  TEST(test_endless_requests);
+  TEST(test_complete_answer_is_kept);
   TESTS_END();
 }
