--- a/packages/policy/pwadmit.c
+++ b/packages/policy/pwadmit.c
@@ -70,7 +70,7 @@
                       int priority) {
   double ahead = pwqueue_ahead(a->queue, workspace, weight, priority);
   double rate = a->served > 1 ? a->served : 1;
-  /* A request in progress has to end first: half of the mean cost on average. */
+  /* One in progress has to end first: half of the mean cost on average. */
   double first = a->running ? a->load.actual / a->running / 2 : 0;
   double ms = (ahead + first) / rate * MS;
   return (uint32_t)(ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
--- a/packages/policy/pwcanary.c
+++ b/packages/policy/pwcanary.c
@@ -9,22 +9,23 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_ALL_AT_ONCE = 50, /* no trial share before all requests */
-  MUT_NO_WAY_BACK = 51, /* a version with all requests is never reverted */
-  MUT_ONE_SUM = 52,     /* routes are summed up */
-  MUT_NO_ROOM_ASKED =
-      53,             /* it gets all requests, whatever its targets' slots */
-  MUT_BACK_AGAIN = 54 /* a reverted rollout begins again */
+  MUT_ALL_AT_ONCE = 50,   /* no trial share before all requests */
+  MUT_NO_WAY_BACK = 51,   /* a version with all requests is never reverted */
+  MUT_ONE_SUM = 52,       /* routes are summed up */
+  MUT_NO_ROOM_ASKED = 53, /* it gets all requests without enough slots */
+  MUT_BACK_AGAIN = 54     /* a reverted rollout begins again */
 };
 
-/* Parts of the rollout's time: until then the share stays that of the first
-** stage (CANARY_PART); from then on a doubtful version is reverted
-** (LAST_PART); from then on the rollout can be complete (COMPLETE_PART).
-** Requests still running at old targets are cut off when these are stopped, so
-** there is time between all requests going to the new version and
-** completion. */
+/* Part of the rollout's time until which the share stays that of the first
+** stage. */
 #define CANARY_PART 0.65
+
+/* Part of the rollout's time from which a doubtful version is reverted. */
 #define LAST_PART 0.85
+
+/* Part of the rollout's time from which it can be complete. Requests still
+** running at old targets are cut off when these are stopped, so some time has
+** to pass after all requests go to the new version. */
 #define COMPLETE_PART 0.95
 
 /* Least time at the trial share: most requests have ended by then and the
@@ -45,8 +46,8 @@
 #define PRIOR_ANSWERS 20.0
 #define PRIOR_BAD 1.0
 
-#define SLOW_TIMES                                                             \
-  2.0 /* multiple of the baseline from which an answer is slow */
+/* An answer is slow from this multiple of the baseline on. */
+#define SLOW_TIMES 2.0
 
 static const char *const names[] = {"running", "complete", "reverted"};
 #define STATES (int)(sizeof names / sizeof names[0])
--- a/packages/policy/pwpick.h
+++ b/packages/policy/pwpick.h
@@ -36,8 +36,8 @@
 /* Selection policies. All but PWPICK_BY_HOME are naive and serve as baselines
 ** in comparisons. */
 typedef enum pw_pick_how {
-  PWPICK_BY_HOME, /* the prompt's home within the bound, else the shortest wait */
-  PWPICK_BY_LOAD, /* the shortest wait, whatever the prompt */
+  PWPICK_BY_HOME, /* the prompt's home within the bound, or else by load */
+  PWPICK_BY_LOAD, /* the shortest expected wait */
   PWPICK_BY_TURN, /* round robin */
   PWPICK_BY_HASH  /* the prompt's home, however loaded it is */
 } pw_pick_how;
--- a/packages/policy/pwplan.c
+++ b/packages/policy/pwplan.c
@@ -12,7 +12,7 @@
 /* A slot with its rank for sorting. */
 typedef struct choice {
   const pw_plan_slot *s;
-  int at;
+  int at;   /* index of the slot */
   int rank; /* lower is first */
 } choice;
 
@@ -92,8 +92,8 @@
   qsort(c, (size_t)n, sizeof *c, by_rank);
 }
 
-/* Number out of service, without those that fail again and again: one broken
-** target does not block all others. */
+/* Number of slots out of service, without those that fail again and again: one
+** broken target does not block all others. */
 static int count_out(const choice *c, int n) {
   int out_of_service = 0;
   for (int i = 0; i < n; i++)
--- a/packages/policy/pwqueue.c
+++ b/packages/policy/pwqueue.c
@@ -209,7 +209,7 @@
       weights += f->weight;
     }
   }
-  /* Of the others, only their share goes first while the workspace's own drain. */
+  /* Of the others only their share goes first, while its own ones drain. */
   double share = weights > 0 ? weight / weights : 1;
   double fair = own / share - own;
   return own + (others < fair ? others : fair);
--- a/packages/policy/pwrollout.h
+++ b/packages/policy/pwrollout.h
@@ -53,9 +53,10 @@
   double step[PWROLLOUT_STEPS]; /* rising percentages */
   int nsteps;                   /* 0: one step, to 100 */
   double max_errors;            /* share of failed attempts allowed */
-  int64_t step_ms;
-  double min_requests;
+  int64_t step_ms;              /* least length of a step */
+  double min_requests;          /* least attempts in a step */
   double ready; /* percent of the serving targets that serve `to` */
+  /* Attempts that succeeded and that failed, of the new and the old version. */
   double done_to, failed_to, done_from, failed_from;
   int loads_failed; /* targets at which the load of `to` failed */
   int64_t in_step;  /* ms since the step's share came into force */
--- a/packages/policy/pwroute.c
+++ b/packages/policy/pwroute.c
@@ -4,15 +4,14 @@
 #define PREFIX_ASKS 2 /* ranks asked for a prefix before giving up */
 #define QUEUE_AFTER 5 /* refusals for load until the request may queue */
 #define DRAWS 4       /* random targets looked at when the ranks are full */
-#define DRAWS_GROW                                                             \
-  4 /* each refusal for load doubles them, this often at most */
+#define DRAWS_GROW 4  /* DRAWS doubles with each refusal, this often at most */
 #define RANKS_SPILLED 2     /* ranks tried before random targets */
 #define SCAN_MAX 64         /* targets looked at when no random one has room */
 #define RETRY_AFTER_MIN 500 /* ms */
 #define RETRY_AFTER_MAX 60000
 
-/* Factor on the load of targets in the own availability zone, for
-** preference. */
+/* Targets in the own availability zone are preferred: their load counts by
+** this factor. */
 #define NEAR_FACTOR 0.8
 
 static int was_tried(const pw_route_walk *w, uint64_t id) {
@@ -101,8 +100,9 @@
 typedef enum scan_mode { SCAN_FITS, SCAN_OPEN, SCAN_EJECTED } scan_mode;
 
 /* Whether an ejected target may be asked. Where others are merely full it would
-** fail the request instead of a short wait, unless it is new: 520 to 549 of 600
-** requests were answered with it, 593 to 598 without. */
+** fail the request instead of a short wait, unless it is new: of 600
+** requests 520 to 549 are answered if ejected targets are asked, and 593 to 598
+** if they are not. */
 static int may_ask_ejected(const pw_route_target *t, const pw_route_walk *w) {
   return !w->is_choosy && (!w->busy || t->joining);
 }
--- a/packages/policy/pwroute.h
+++ b/packages/policy/pwroute.h
@@ -36,7 +36,7 @@
   uint64_t draw; /* random bits, fixed for the request */
   uint32_t availability_zone;
   double cost;
-  int returning; /* a chat that has a cached prefix: finding it is worth a hop */
+  int returning;    /* the chat has a cached prefix that is worth a hop */
   uint64_t pointer; /* target said to have the prefix; 0: none */
   int asked_prefix; /* ranks that were asked with need_prefix */
   int prefix_done;  /* no target is asked for the prefix any more */
--- a/packages/policy/pwshare.c
+++ b/packages/policy/pwshare.c
@@ -41,12 +41,12 @@
 }
 
 double pwshare_places(double mine, double all, double slots, double used,
-                      double kept) {
+                      double reserved) {
   double share = all > mine ? mine / all : 1;
   double free_part = used < slots ? 1 - used / slots : 0;
   if (free_part > FREE_ENOUGH)
     return slots;
   double limit = share * slots * (1 + FREE_TIMES * free_part);
   double least = SLOTS_LEAST + free_part;
-  return (limit > least ? limit : least) * (1 - KEPT_TIMES * kept);
+  return (limit > least ? limit : least) * (1 - KEPT_TIMES * reserved);
 }
--- a/packages/policy/pwshare.h
+++ b/packages/policy/pwshare.h
@@ -27,9 +27,9 @@
 /* How many requests this gateway may have in flight at targets with `slots` in
 ** total, of which `used` are in use as far as it knows. `mine` and `all` are
 ** the requests a second at this gateway and at all of them, including this
-** one. While slots are free it may exceed its share. `kept` is the share of
+** one. While slots are free it may exceed its share. `reserved` is the share of
 ** the slots reserved for more urgent requests (pwplaces). */
 double pwshare_places(double mine, double all, double slots, double used,
-                      double kept);
+                      double reserved);
 
 #endif
--- a/packages/policy/pwspread.c
+++ b/packages/policy/pwspread.c
@@ -66,7 +66,7 @@
   return best;
 }
 
-/* The free source that has been idle longest. */
+/* The source that has been free longest; NULL: none is free. */
 static pw_spread_place *free_source(const pw_spread_place *to,
                                     pw_spread_place *const *all, size_t n,
                                     uint64_t newest, int64_t now) {
--- a/packages/policy/pwsurge.c
+++ b/packages/policy/pwsurge.c
@@ -12,8 +12,8 @@
 #define NOW_MS 1000.0
 #define BASELINE_MS 300000.0
 
-/* A workspace may send TIMES its baseline share and EXTRA requests more before
-** the rest counts as a spike, since requests arrive in bursts. */
+/* A workspace may send TIMES times its baseline share plus EXTRA requests; the
+** rest is its surplus. Both allow for requests that arrive in bursts. */
 #define TIMES 2.0
 #define EXTRA 8.0
 
@@ -23,7 +23,7 @@
 /* Decaying counts of requests. */
 typedef struct counts {
   double now, baseline;
-  int64_t at;
+  int64_t at; /* time up to which they have decayed, ms */
 } counts;
 
 typedef struct row {
--- a/packages/policy/pwusual.c
+++ b/packages/policy/pwusual.c
@@ -51,12 +51,12 @@
     u->count[i]--;
 }
 
-void pwusual_note(pw_usual *u, int64_t ms, int is_calm) {
+void pwusual_note(pw_usual *u, int64_t ms, int is_unloaded) {
   if (ms < 1)
     return;
   int time = (int)floor(log((double)ms) / log(RATIO));
   count(&u->all, time);
-  if (is_calm)
+  if (is_unloaded)
     count(&u->unloaded, time);
 }
 
--- a/packages/policy/pwusual.h
+++ b/packages/policy/pwusual.h
@@ -27,9 +27,9 @@
   pw_usual_times unloaded; /* seen while hardly any caller was refused */
 } pw_usual;
 
-/* Counts a request with a timeout of `ms`; `is_calm`: hardly any caller was
+/* Counts a request with a timeout of `ms`; `is_unloaded`: hardly any caller was
 ** refused recently. */
-void pwusual_note(pw_usual *u, int64_t ms, int is_calm);
+void pwusual_note(pw_usual *u, int64_t ms, int is_unloaded);
 
 /* The baseline timeout in ms, at most a few percent too low; 0: unknown. */
 int64_t pwusual_ms(const pw_usual *u);
