--- a/packages/policy/pwadmit.h
+++ b/packages/policy/pwadmit.h
@@ -12,8 +12,7 @@
   pw_load load;
   int slots; /* most requests in progress at a time */
   int running;
-  pw_holdoff
-      hold_off; /* asked for by the target: nothing starts until it ends */
+  pw_holdoff hold_off; /* until it ends nothing starts */
   pw_bound bound;
   double reuse;        /* worth of a cached prefix as a multiple of the time to
                             compute it */
--- a/packages/policy/pwcold.h
+++ b/packages/policy/pwcold.h
@@ -14,9 +14,8 @@
 
 /* What the settings of a service say of its cold targets. */
 typedef struct pw_cold_service {
-  int64_t ms; /* longest time that a target is cold; 0: never cold */
-  double
-      per_s; /* requests a second that one takes, from all gateways together */
+  int64_t ms;   /* longest time that a target is cold; 0: never cold */
+  double per_s; /* requests a second that one takes, from all gateways */
 } pw_cold_service;
 
 /* What is known of one target, and when this gateway may send to it. */
@@ -24,8 +23,7 @@
   int64_t until;    /* the target reported that it is cold until then, ms */
   int64_t doubt_at; /* it may have restarted unnoticed by then, ms; 0: it has
                        not */
-  int64_t
-      next_at; /* this gateway's next request while it is cold; 0: not set */
+  int64_t next_at;  /* next request of this gateway while cold; 0: not set */
 } pw_cold;
 
 /* Whether the target is cold, or has to be treated as cold. */
--- a/packages/policy/pwhold.c
+++ b/packages/policy/pwhold.c
@@ -2,8 +2,8 @@
 ** slowly. */
 #include "pwhold.h"
 
-#define UNTAKEN (128.0 * 1024)
-#define UNTAKEN_LEAST 0.0 /* one piece at a time, which is passed on complete */
+#define UNWRITTEN (128.0 * 1024)
+#define UNWRITTEN_LEAST 0.0 /* one piece, which is passed on complete */
 #define AHEAD (256.0 * 1024)
 #define AHEAD_LEAST (4.0 * 1024)
 #define BODY_LEAST (64.0 * 1024)
@@ -29,7 +29,7 @@
   if (ease > 1)
     ease = 1;
   double body = BODY_PART * left;
-  return (pw_hold){.untaken = (size_t)between(UNTAKEN_LEAST, UNTAKEN, ease),
+  return (pw_hold){.untaken = (size_t)between(UNWRITTEN_LEAST, UNWRITTEN, ease),
                    .ahead = (size_t)between(AHEAD_LEAST, AHEAD, ease),
                    .body = (size_t)(body > BODY_LEAST ? body : BODY_LEAST),
                    .stall_ms = (int64_t)between(STALL_LEAST_MS, STALL_MS, ease),
--- a/packages/policy/pwhold.h
+++ b/packages/policy/pwhold.h
@@ -14,15 +14,17 @@
 #include <stdint.h>
 
 typedef struct pw_hold {
-  size_t
-      untaken; /* unread bytes of a stream from which on its target is paused */
-  size_t
-      ahead;   /* bytes read ahead from a caller whose request is in progress */
-  size_t body; /* longest body of a request that arrives now */
-  int64_t stall_ms;       /* a caller that reads nothing for this time is
-                             disconnected, ms */
-  int64_t stall_whole_ms; /* the same for one whose answers are complete: they
-                             pause no target */
+  /* Bytes of a stream not yet written to its caller from which on the target
+  ** of the stream is paused. */
+  size_t untaken;
+  /* Bytes read ahead from a caller whose request is in progress. */
+  size_t ahead;
+  /* Longest body of a request that arrives now. */
+  size_t body;
+  /* A caller that reads nothing for this time is disconnected, ms. */
+  int64_t stall_ms;
+  /* The same for a caller whose answers are complete: it pauses no target. */
+  int64_t stall_whole_ms;
 } pw_hold;
 
 /* The limits while `held` bytes of a budget are in use. */
--- a/packages/policy/pwspread.c
+++ b/packages/policy/pwspread.c
@@ -14,8 +14,8 @@
 }
 
 void pwspread_want(pw_spread_place *p, int64_t now) {
-  if (!p->wants_at) {
-    p->wants_at = now;
+  if (!p->requested_at) {
+    p->requested_at = now;
     p->served_at = 0;
     p->failed = 0;
   } else if (p->served_at && now - p->served_at >= timeout_of(p)) {
@@ -35,7 +35,7 @@
   }
   p->holds = version;
   if (version >= newest)
-    p->wants_at = 0;
+    p->requested_at = 0;
 }
 
 /* Whether a receiver that got nothing is being served again. Answers that are
@@ -45,7 +45,7 @@
                                int64_t now) {
   for (size_t i = 0; i < n; i++) {
     const pw_spread_place *p = all[i];
-    if (p->failed && p->wants_at && p->served_at &&
+    if (p->failed && p->requested_at && p->served_at &&
         now - p->served_at < PW_SPREAD_SERVE_MS)
       return 1;
   }
@@ -58,9 +58,9 @@
   int is_any_again = is_any_served_again(all, n, now);
   for (size_t i = 0; i < n; i++) {
     pw_spread_place *p = all[i];
-    if (!p->wants_at || p->served_at || (p->failed && is_any_again))
+    if (!p->requested_at || p->served_at || (p->failed && is_any_again))
       continue;
-    if (!best || p->wants_at < best->wants_at)
+    if (!best || p->requested_at < best->requested_at)
       best = p;
   }
   return best;
@@ -93,7 +93,7 @@
 }
 
 void pwspread_serve(pw_spread_place *to, pw_spread_place *source, int64_t now) {
-  assert(to->wants_at && to != source);
+  assert(to->requested_at && to != source);
   to->served_at = now;
   to->source = source ? source->id : 0;
   if (source)
--- a/packages/policy/pwspread.h
+++ b/packages/policy/pwspread.h
@@ -25,17 +25,14 @@
 
 /* A receiver of the document, which can be a source once it has it. */
 typedef struct pw_spread_place {
-  uint64_t id;      /* not 0, and unique */
-  uint64_t holds;   /* version that it has */
-  int can_hand;     /* it serves documents to others */
-  int64_t wants_at; /* since when it waits for a newer version, ms; 0: it does
-                        not */
-  int64_t
-      served_at;   /* when it was sent the document or referred to a source; 0:
-                        not yet */
-  uint64_t source; /* the source that it was referred to; 0: none */
-  int64_t busy_until; /* as a source it is taken to be busy until then, ms */
-  int failed;         /* times that it was served and nothing arrived */
+  uint64_t id;          /* not 0, and unique */
+  uint64_t holds;       /* version that it has */
+  int can_hand;         /* it serves documents to others */
+  int64_t requested_at; /* it waits for a newer version since then, ms; 0: no */
+  int64_t served_at;    /* it was last sent or referred then, ms; 0: not yet */
+  uint64_t source;      /* the source that it was referred to; 0: none */
+  int64_t busy_until;   /* as a source it is taken to be busy until then, ms */
+  int failed;           /* times that it was served and nothing arrived */
 } pw_spread_place;
 
 /* It asks for a version newer than the one it has. */
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -78,7 +78,8 @@
     d->comes_at[i] = 0;
     pwspread_holds(p, NEWEST, NEWEST, d->all, RECEIVERS);
   }
-  if (p->holds < NEWEST && (!p->wants_at || now - d->asked_at[i] >= ASK_MS)) {
+  if (p->holds < NEWEST &&
+      (!p->requested_at || now - d->asked_at[i] >= ASK_MS)) {
     d->asked_at[i] = now;
     pwspread_want(p, now);
   }
