--- a/packages/store/pwdedup.c
+++ b/packages/store/pwdedup.c
@@ -1,5 +1,6 @@
-/* pwdedup.c: keys of requests that have run: a ring of entries in order of
-** adding, and an open hash table of places in the ring. */
+/* pwdedup.c: the set of hashed keys of requests that may not run again: a ring
+** buffer of entries in order of insertion, and an open-addressing hash table
+** with linear probing that maps keys to positions in the ring. */
 #include "pwdedup.h"
 
 #include "pwbuf.h"
@@ -9,40 +10,40 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CAP_FIRST 1024U /* entries; a power of two, as all capacities */
-#define INDEX_PER_ENTRY 2U
-#define ANSWERED 0x80000000U /* bit beside the body's hash */
+#define INITIAL_CAP 1024U    /* entries; every capacity is a power of two */
+#define SLOTS_PER_ENTRY 2U   /* of the hash table */
+#define ANSWERED 0x80000000U /* flag bit above the body's 31-bit hash */
 
 #ifndef PW_MUTATION
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_EARLY_END = 17 /* a freed place ends searches that went past it */
+  MUT_EARLY_END = 17 /* a freed slot ends searches that must go past it */
 };
 
 typedef struct packed {
   uint8_t key[PWDEDUP_KEY];
   uint32_t at;   /* little-endian, as in a snapshot */
-  uint32_t body; /* the same */
+  uint32_t body; /* little-endian; the top bit is ANSWERED */
 } packed;
 
 struct pw_dedup {
   packed *ring;
-  uint32_t *index; /* place in the ring, plus one; 0: free */
+  uint32_t *index; /* hash table: position in the ring plus one; 0: free */
   uint32_t cap;
-  uint32_t first; /* number of the oldest; its place is first % cap */
+  uint32_t first; /* number of the oldest; its position is first % cap */
   uint32_t count;
 };
 
-static void make_room(pw_dedup *d, uint32_t cap) {
+static void alloc_tables(pw_dedup *d, uint32_t cap) {
   d->cap = cap;
   d->ring = pw_alloc(sizeof *d->ring * cap);
-  d->index = pw_alloc(sizeof *d->index * cap * INDEX_PER_ENTRY);
+  d->index = pw_alloc(sizeof *d->index * cap * SLOTS_PER_ENTRY);
 }
 
 pw_dedup *pwdedup_new(void) {
   pw_dedup *d = pw_alloc(sizeof *d);
-  make_room(d, CAP_FIRST);
+  alloc_tables(d, INITIAL_CAP);
   return d;
 }
 
@@ -58,39 +59,40 @@
   return d->count;
 }
 
-/* Where the search for a key begins; keys are hashes already. */
-static uint32_t home(const pw_dedup *d, const uint8_t *key) {
+/* The slot at which the search for a key begins. Keys are hashes already, so
+** their first bytes serve as the hash value. */
+static uint32_t first_slot(const pw_dedup *d, const uint8_t *key) {
   uint32_t h;
   memcpy(&h, key, sizeof h);
-  return h & (d->cap * INDEX_PER_ENTRY - 1);
+  return h & (d->cap * SLOTS_PER_ENTRY - 1);
 }
 
-static uint32_t after(const pw_dedup *d, uint32_t i) {
-  return (i + 1) & (d->cap * INDEX_PER_ENTRY - 1);
+static uint32_t next_slot(const pw_dedup *d, uint32_t i) {
+  return (i + 1) & (d->cap * SLOTS_PER_ENTRY - 1);
 }
 
-/* Index of the key, or of the free place that ends the search for it. */
-static uint32_t look(const pw_dedup *d, const uint8_t *key) {
-  uint32_t i = home(d, key);
+/* The slot of a key, or the free slot that ends the search for it. */
+static uint32_t find_slot(const pw_dedup *d, const uint8_t *key) {
+  uint32_t i = first_slot(d, key);
   while (d->index[i] &&
          memcmp(d->ring[d->index[i] - 1].key, key, PWDEDUP_KEY) != 0)
-    i = after(d, i);
+    i = next_slot(d, i);
   return i;
 }
 
-static void put(pw_dedup *d, const packed *p) {
+static void append(pw_dedup *d, const packed *p) {
   uint32_t at = (d->first + d->count++) & (d->cap - 1);
   d->ring[at] = *p;
-  d->index[look(d, p->key)] = at + 1;
+  d->index[find_slot(d, p->key)] = at + 1;
 }
 
 static void grow(pw_dedup *d) {
   pw_dedup old = *d;
-  make_room(d, old.cap * 2);
+  alloc_tables(d, old.cap * 2);
   d->first = 0;
   d->count = 0;
   for (uint32_t i = 0; i < old.count; i++)
-    put(d, &old.ring[(old.first + i) & (old.cap - 1)]);
+    append(d, &old.ring[(old.first + i) & (old.cap - 1)]);
   free(old.ring);
   free(old.index);
 }
@@ -103,12 +105,12 @@
   assert(!pwdedup_find(d, e->key, NULL));
   if (d->count == d->cap)
     grow(d);
-  put(d, &p);
+  append(d, &p);
 }
 
 int pwdedup_find(const pw_dedup *d, const uint8_t key[PWDEDUP_KEY],
                  pw_dedup_entry *out) {
-  uint32_t at = d->index[look(d, key)];
+  uint32_t at = d->index[find_slot(d, key)];
   if (!at)
     return 0;
   if (!out)
@@ -122,19 +124,19 @@
   return 1;
 }
 
-/* Frees a place of the index and moves back those behind it that were pushed
-** past it, so that no search ends early. */
-static void unlink_at(pw_dedup *d, uint32_t hole) {
-  uint32_t mask = d->cap * INDEX_PER_ENTRY - 1;
-  for (uint32_t i = after(d, hole); d->index[i]; i = after(d, i)) {
-    uint32_t from = home(d, d->ring[d->index[i] - 1].key);
-    if (((i - from) & mask) < ((i - hole) & mask) ||
+/* Frees a slot and moves back the entries after it that were placed beyond
+** their first slot, so that the free slot ends no search too early. */
+static void free_slot(pw_dedup *d, uint32_t free_at) {
+  uint32_t mask = d->cap * SLOTS_PER_ENTRY - 1;
+  for (uint32_t i = next_slot(d, free_at); d->index[i]; i = next_slot(d, i)) {
+    uint32_t from = first_slot(d, d->ring[d->index[i] - 1].key);
+    if (((i - from) & mask) < ((i - free_at) & mask) ||
         PW_MUTATION == MUT_EARLY_END)
       continue;
-    d->index[hole] = d->index[i];
-    hole = i;
+    d->index[free_at] = d->index[i];
+    free_at = i;
   }
-  d->index[hole] = 0;
+  d->index[free_at] = 0;
 }
 
 void pwdedup_expire(pw_dedup *d, uint32_t before) {
@@ -142,7 +144,7 @@
     const packed *oldest = &d->ring[d->first & (d->cap - 1)];
     if (le32toh(oldest->at) >= before)
       return;
-    unlink_at(d, look(d, oldest->key));
+    free_slot(d, find_slot(d, oldest->key));
     d->first++;
     d->count--;
   }
@@ -165,15 +167,15 @@
   free(d->index);
   d->first = 0;
   d->count = 0;
-  make_room(d, CAP_FIRST);
+  alloc_tables(d, INITIAL_CAP);
   for (size_t i = 0; i < len; i += PWDEDUP_BYTES) {
     packed p;
     memcpy(&p, bytes + i, sizeof p);
     if (pwdedup_find(d, p.key, NULL))
-      continue; /* a key stands once */
+      continue; /* skips a repeated key */
     if (d->count == d->cap)
       grow(d);
-    put(d, &p);
+    append(d, &p);
   }
   return 0;
 }
--- a/packages/store/pwdoc.c
+++ b/packages/store/pwdoc.c
@@ -1,4 +1,4 @@
-/* pwdoc.c: a versioned document, sent as differences (zstd with a prefix). */
+/* pwdoc.c: a versioned document and its deltas (zstd with the base as prefix). */
 #include "pwdoc.h"
 
 #include "pwbuf.h"
@@ -7,29 +7,30 @@
 #include <string.h>
 #include <zstd.h>
 
-#define KEPT 4                         /* versions kept, the newest included */
-#define KEPT_BYTES (4UL * 1024 * 1024) /* of the older ones */
-#define LEVEL 3                        /* of compression */
-#define WINDOW_MIN 10 /* zstd's least and largest window, log 2 */
+#define VERSIONS 4                    /* retained, the newest included */
+#define OLD_BYTES (4UL * 1024 * 1024) /* retained of older versions, at most */
+#define LEVEL 3                       /* zstd compression level */
+#define WINDOW_MIN 10 /* smallest and largest zstd window, as log2 of bytes */
 #define WINDOW_MAX 25
 
-typedef struct kept {
+typedef struct doc_version {
   uint64_t version;
   char *text;
   size_t n;
-} kept;
+} doc_version;
 
-/* The newest version as it was packed, against each base that was asked for: packing
-** takes some ms, and a hundred receivers of the same base ask in the same moment. */
-typedef struct packs {
-  Pw__Document d[KEPT];
-  int used[KEPT];
-  int turn;
-} packs;
+/* Cache of the newest version in packed form, one for each base that was requested.
+** Packing takes some milliseconds, and a hundred receivers with the same base
+** request it at the same moment. */
+typedef struct pack_cache {
+  Pw__Document d[VERSIONS];
+  int used[VERSIONS];
+  int next; /* slot to overwrite next */
+} pack_cache;
 
 struct pw_doc {
-  kept k[KEPT]; /* the newest first */
-  packs *packs;
+  doc_version v[VERSIONS]; /* the newest first */
+  pack_cache *packs;
 };
 
 pw_doc *pwdoc_new(void) {
@@ -38,17 +39,17 @@
   return d;
 }
 
-static void clear_packs(packs *p) {
-  for (int i = 0; i < KEPT; i++)
+static void clear_packs(pack_cache *p) {
+  for (int i = 0; i < VERSIONS; i++)
     if (p->used[i])
       free(p->d[i].data.data);
   memset(p, 0, sizeof *p);
 }
 
 void pwdoc_clear(pw_doc *d) {
-  for (int i = 0; i < KEPT; i++)
-    free(d->k[i].text);
-  memset(d->k, 0, sizeof d->k);
+  for (int i = 0; i < VERSIONS; i++)
+    free(d->v[i].text);
+  memset(d->v, 0, sizeof d->v);
   clear_packs(d->packs);
 }
 
@@ -61,38 +62,39 @@
 }
 
 uint64_t pwdoc_version(const pw_doc *d) {
-  return d->k[0].version;
+  return d->v[0].version;
 }
 
 const char *pwdoc_text(const pw_doc *d, size_t *n) {
-  *n = d->k[0].n;
-  return d->k[0].text ? d->k[0].text : "";
+  *n = d->v[0].n;
+  return d->v[0].text ? d->v[0].text : "";
 }
 
-static const kept *find(const pw_doc *d, uint64_t version) {
-  for (int i = 0; version && i < KEPT; i++)
-    if (d->k[i].version == version)
-      return &d->k[i];
+static const doc_version *find(const pw_doc *d, uint64_t version) {
+  for (int i = 0; version && i < VERSIONS; i++)
+    if (d->v[i].version == version)
+      return &d->v[i];
   return NULL;
 }
 
-/* Takes over text. Older ones go when they are too many or too large. */
+/* Makes `text` the newest version and takes ownership of it. Drops older
+** versions past VERSIONS or OLD_BYTES. */
 static void push(pw_doc *d, uint64_t version, char *text, size_t n) {
   clear_packs(d->packs);
-  free(d->k[KEPT - 1].text);
-  memmove(&d->k[1], &d->k[0], sizeof d->k[0] * (KEPT - 1));
-  d->k[0] = (kept){version, text, n};
+  free(d->v[VERSIONS - 1].text);
+  memmove(&d->v[1], &d->v[0], sizeof d->v[0] * (VERSIONS - 1));
+  d->v[0] = (doc_version){version, text, n};
   size_t bytes = 0;
-  for (int i = 1; i < KEPT; i++) {
-    bytes += d->k[i].n;
-    if (bytes <= KEPT_BYTES)
+  for (int i = 1; i < VERSIONS; i++) {
+    bytes += d->v[i].n;
+    if (bytes <= OLD_BYTES)
       continue;
-    free(d->k[i].text);
-    d->k[i] = (kept){0};
+    free(d->v[i].text);
+    d->v[i] = (doc_version){0};
   }
 }
 
-/* A window that reaches over base and text. */
+/* The smallest window that covers `bytes`, the sum of base and text. */
 static int window_log(size_t bytes) {
   int log = WINDOW_MIN;
   while (log < WINDOW_MAX && ((size_t)1 << log) < bytes)
@@ -100,7 +102,7 @@
   return log;
 }
 
-static void compress(const kept *base, const char *text, size_t n,
+static void compress(const doc_version *base, const char *text, size_t n,
                      Pw__Document *out) {
   size_t cap = ZSTD_compressBound(n);
   ZSTD_CCtx *c = ZSTD_createCCtx();
@@ -117,9 +119,10 @@
   ZSTD_freeCCtx(c);
 }
 
-/* Room for one more; the oldest makes it. */
-static Pw__Document *new_pack(packs *p) {
-  int i = p->turn++ % KEPT;
+/* Returns an empty entry of the cache; when the cache is full, the oldest entry
+** is evicted. */
+static Pw__Document *new_pack(pack_cache *p) {
+  int i = p->next++ % VERSIONS;
   if (p->used[i])
     free(p->d[i].data.data);
   p->used[i] = 1;
@@ -128,14 +131,14 @@
 }
 
 const Pw__Document *pwdoc_packed(const pw_doc *d, uint64_t have) {
-  const kept *base = have < d->k[0].version ? find(d, have) : NULL;
+  const doc_version *base = have < d->v[0].version ? find(d, have) : NULL;
   uint64_t since = base ? base->version : 0;
-  for (int i = 0; i < KEPT; i++)
+  for (int i = 0; i < VERSIONS; i++)
     if (d->packs->used[i] && d->packs->d[i].since == since)
       return &d->packs->d[i];
   Pw__Document *out = new_pack(d->packs);
-  out->version = d->k[0].version;
-  compress(base, d->k[0].text ? d->k[0].text : "", d->k[0].n, out);
+  out->version = d->v[0].version;
+  compress(base, d->v[0].text ? d->v[0].text : "", d->v[0].n, out);
   return out;
 }
 
@@ -143,10 +146,10 @@
                      size_t n, Pw__Document *out) {
   pw__document__init(out);
   out->version = version;
-  compress(d->k[0].version ? &d->k[0] : NULL, text, n, out);
+  compress(d->v[0].version ? &d->v[0] : NULL, text, n, out);
 }
 
-static char *decompress(const kept *base, const Pw__Document *in) {
+static char *decompress(const doc_version *base, const Pw__Document *in) {
   ZSTD_DCtx *c = ZSTD_createDCtx();
   char *text = pw_alloc((size_t)in->size + 1);
   ZSTD_DCtx_setParameter(c, ZSTD_d_windowLogMax, WINDOW_MAX);
@@ -162,16 +165,16 @@
 }
 
 pw_code pwdoc_take(pw_doc *d, const Pw__Document *in) {
-  if (in->version <= d->k[0].version)
+  if (in->version <= d->v[0].version)
     return PW_OK;
-  const kept *base = find(d, in->since);
+  const doc_version *base = find(d, in->since);
   if (in->since && !base)
     return PW_E_STALE;
   char *text = in->size <= PWDOC_MAX ? decompress(base, in) : NULL;
   if (!text)
     return PW_E_CORRUPT;
   push(d, in->version, text, in->size);
-  Pw__Document *out = new_pack(d->packs); /* handed on as it came */
+  Pw__Document *out = new_pack(d->packs); /* forwarded as it was received */
   out->version = in->version;
   out->since = in->since;
   out->size = in->size;
--- a/packages/store/pwfile.c
+++ b/packages/store/pwfile.c
@@ -1,4 +1,4 @@
-/* pwfile.c: file calls of the store. */
+/* pwfile.c: file calls of the store, and atomic replacement of a file. */
 #define _GNU_SOURCE
 #include "pwfile.h"
 
@@ -120,19 +120,19 @@
   return -1;
 }
 
-/* Bytes to be written as they are. */
-typedef struct piece {
+/* Argument of fill_bytes. */
+typedef struct byte_span {
   const void *data;
   size_t n;
-} piece;
+} byte_span;
 
-static int fill_piece(void *arg, const pw_file_ops *ops, int fd) {
-  const piece *p = arg;
+static int fill_bytes(void *arg, const pw_file_ops *ops, int fd) {
+  const byte_span *p = arg;
   return pwfile_write_all(ops, fd, p->data, p->n);
 }
 
 int pwfile_replace(const pw_file_ops *ops, const char *dir, const char *path,
                    const void *data, size_t n) {
-  piece p = {data, n};
-  return pwfile_replace_with(ops, dir, path, fill_piece, &p);
+  byte_span p = {data, n};
+  return pwfile_replace_with(ops, dir, path, fill_bytes, &p);
 }
--- a/packages/store/pwonce.c
+++ b/packages/store/pwonce.c
@@ -1,4 +1,4 @@
-/* pwonce.c: the once-ledger. */
+/* pwonce.c: the once-ledger: claims of keys and the answers to them. */
 #include "pwonce.h"
 
 #include "pwbuf.h"
@@ -17,13 +17,14 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_FORGET_CROWDED = 15, /* claims go with their answers */
-  MUT_NEVER_FULL = 16      /* a full ledger takes claims all the same */
+  MUT_FORGET_CROWDED = 15, /* claims are removed together with their answers */
+  MUT_NEVER_FULL = 16      /* a full ledger grants claims all the same */
 };
-#define BODY_BITS 0x7fffffffU
+#define BODY_BITS 0x7fffffffU /* 31 bits of the digest, as in pwdedup */
 
-/* uthash keeps the order of adding: open ones in order of claiming, answered
-** ones in order of answering. */
+/* A claim that is open, answered or given back. uthash keeps the order of
+** insertion: open claims are in order of claiming, answered ones in order of
+** their answers, so the oldest is the first. */
 typedef struct claim {
   uint8_t id[PWDEDUP_KEY]; /* hash of workspace and key */
   Pw__KeptClaim *kept;
@@ -34,7 +35,7 @@
   claim *open, *answered, *given_back;
   size_t answer_bytes;
   pw_dedup *past;
-  uint64_t held_until; /* wall clock, ms */
+  uint64_t refuse_until; /* no unknown keys until then: wall clock, ms */
 };
 
 pw_once *pwonce_new(void) {
@@ -44,7 +45,7 @@
 }
 
 void pwonce_hold(pw_once *o, uint64_t until) {
-  o->held_until = until;
+  o->refuse_until = until;
 }
 
 static size_t answer_size(const claim *c) {
@@ -83,7 +84,8 @@
   free(o);
 }
 
-/* With their ends, so that no workspace and key make another's. */
+/* Hashes workspace and key, each with its terminating zero, so that no two pairs
+** give the same bytes. */
 static void hash_id(const char *workspace, const char *key,
                     uint8_t id[PWDEDUP_KEY]) {
   crypto_generichash_state st;
@@ -94,7 +96,7 @@
   crypto_generichash_final(&st, id, PWDEDUP_KEY);
 }
 
-/* The digest is a hash already; a part of it tells bodies apart. */
+/* Part of the digest, which is a hash already; enough to tell bodies apart. */
 static uint32_t short_digest(const ProtobufCBinaryData *digest) {
   uint32_t h = 0;
   if (digest->len >= sizeof h)
@@ -108,7 +110,7 @@
   return c;
 }
 
-/* One that is open or answered. */
+/* Finds an open or answered claim. */
 static claim *find(const pw_once *o, const uint8_t *id) {
   claim *c = find_in(o->open, id);
   return c ? c : find_in(o->answered, id);
@@ -139,7 +141,7 @@
   HASH_ADD(hh, o->answered, id, sizeof c->id, c);
 }
 
-static Pw__KeptClaim *keep(uint64_t wall, const Pw__Claim *in) {
+static Pw__KeptClaim *new_kept(uint64_t wall, const Pw__Claim *in) {
   Pw__KeptClaim *k = pw_alloc(sizeof *k);
   pw__kept_claim__init(k);
   k->workspace = pw_dup(in->workspace);
@@ -159,8 +161,8 @@
   out->content_type = pw_dup(k->content_type);
 }
 
-static void tell_kept(const Pw__KeptClaim *k, const Pw__Claim *in,
-                      Pw__Claimed *out) {
+static void answer_from_claim(const Pw__KeptClaim *k, const Pw__Claim *in,
+                              Pw__Claimed *out) {
   if (!pw_same(k->digest.data, k->digest.len, in->digest.data, in->digest.len))
     out->code = PW_E_REUSED;
   else if (k->answered)
@@ -169,8 +171,8 @@
     out->code = PW_E_RUNNING;
 }
 
-static void tell_past(const pw_dedup_entry *e, const Pw__Claim *in,
-                      Pw__Claimed *out) {
+static void answer_from_past(const pw_dedup_entry *e, const Pw__Claim *in,
+                             Pw__Claimed *out) {
   if (e->body != short_digest(&in->digest))
     out->code = PW_E_REUSED;
   else if (e->answered)
@@ -194,26 +196,27 @@
   out->id = pw_dup(in->id);
   hash_id(in->workspace, in->key, id);
   const claim *c = find(o, id);
-  claim *back = find_in(o->given_back, id);
+  claim *returned = find_in(o->given_back, id);
   if (c)
-    tell_kept(c->kept, in, out);
-  else if (back && !strcmp(back->kept->owner, in->id))
+    answer_from_claim(c->kept, in, out);
+  else if (returned && !strcmp(returned->kept->owner, in->id))
     out->code = PW_E_RUNNING;
   else if (pwdedup_find(o->past, id, &e))
-    tell_past(&e, in, out);
-  else if (wall < o->held_until)
+    answer_from_past(&e, in, out);
+  else if (wall < o->refuse_until)
     out->code = PW_E_LEDGER_LOST;
   else if (is_full(o))
     out->code = PW_E_LEDGER_FULL;
   else
-    add(o, keep(wall, in));
-  if (back && find(o, id))
-    drop(&o->given_back, back);
+    add(o, new_kept(wall, in));
+  if (returned && find(o, id))
+    drop(&o->given_back, returned);
   return out;
 }
 
-/* A copy of its claim may come after it, over another link or through another leader: it would open
-** the key for good, though its caller was told that it has not run. */
+/* Remembers a claim that was given back. A late copy of the claim, over another
+** link or through another leader, would otherwise be granted and leave the key
+** claimed for good, although its caller was told that the request has not run. */
 static void give_back(pw_once *o, const Pw__Record *in) {
   Pw__KeptClaim *k = pw_alloc(sizeof *k);
   pw__kept_claim__init(k);
@@ -247,8 +250,8 @@
   add(o, k);
 }
 
-/* Only the hash stays. */
-static void make_past(pw_once *o, const claim *c) {
+/* Adds the hash of a claim to the past ones; the caller drops the claim. */
+static void add_past(pw_once *o, const claim *c) {
   pw_dedup_entry e = {.at = (uint32_t)(c->kept->wall / MS_PER_S),
                       .body = short_digest(&c->kept->digest),
                       .answered = c->kept->answered};
@@ -257,15 +260,15 @@
     pwdedup_add(o->past, &e);
 }
 
-/* Open claims that nobody can record any more. */
+/* Moves open claims to the past when their answer can no longer be recorded. */
 static void expire_open(pw_once *o, uint64_t wall) {
   while (o->open && o->open->kept->wall + PW_ONCE_OPEN_MS < wall) {
-    make_past(o, o->open);
+    add_past(o, o->open);
     drop(&o->open, o->open);
   }
 }
 
-static int is_crowded(const pw_once *o) {
+static int has_excess_answers(const pw_once *o) {
   return HASH_COUNT(o->answered) > PW_ONCE_ANSWERS ||
          o->answer_bytes > PW_ONCE_ANSWER_BYTES;
 }
@@ -273,11 +276,11 @@
 static void expire_answered(pw_once *o, uint64_t wall, uint64_t keep_ms) {
   while (o->answered) {
     claim *c = o->answered;
-    int old = c->kept->wall + keep_ms < wall;
-    if (!old && !is_crowded(o))
+    int is_old = c->kept->wall + keep_ms < wall;
+    if (!is_old && !has_excess_answers(o))
       return;
-    if (!old)
-      make_past(o, c);
+    if (!is_old)
+      add_past(o, c);
     drop_answered(o, c);
   }
 }
--- a/packages/store/pwres.c
+++ b/packages/store/pwres.c
@@ -1,4 +1,5 @@
-/* pwres.c: a set of resources with revisions. */
+/* pwres.c: a set of resources with revisions: a hash table by KIND/NAME, and a
+** list in order of revision. */
 #include "pwres.h"
 
 #include "pwbuf.h"
@@ -11,13 +12,13 @@
 
 #define ID_MAX (2 * PW_NAME_MAX + 2)
 
-typedef struct slot {
+typedef struct row {
   pw_resource r;
   UT_hash_handle hh;
-} slot;
+} row;
 
 struct pw_res {
-  slot *by_id;
+  row *by_id;
   pw_resource *first, *last;
   uint64_t revision;
   uint64_t floor;
@@ -46,7 +47,7 @@
   return pw_alloc(sizeof(pw_res));
 }
 
-static void unlink_one(pw_res *r, pw_resource *one) {
+static void unlink_resource(pw_res *r, pw_resource *one) {
   if (one->prev)
     one->prev->next = one->next;
   else
@@ -68,8 +69,8 @@
   r->last = one;
 }
 
-static void drop(pw_res *r, slot *s) {
-  unlink_one(r, &s->r);
+static void drop(pw_res *r, row *s) {
+  unlink_resource(r, &s->r);
   HASH_DEL(r->by_id, s);
   r->tombstones -= s->r.deleted;
   free(s->r.id);
@@ -80,7 +81,7 @@
 }
 
 void pwres_clear(pw_res *r, uint64_t floor) {
-  slot *s, *tmp;
+  row *s, *tmp;
   HASH_ITER(hh, r->by_id, s, tmp) {
     drop(r, s);
   }
@@ -103,9 +104,9 @@
   return r->floor;
 }
 
-static slot *find(const pw_res *r, const char *kind, const char *name) {
+static row *find(const pw_res *r, const char *kind, const char *name) {
   char id[ID_MAX];
-  slot *s;
+  row *s;
   snprintf(id, sizeof id, "%s/%s", kind, name);
   HASH_FIND_STR(r->by_id, id, s);
   return s;
@@ -113,7 +114,7 @@
 
 const pw_resource *pwres_find(const pw_res *r, const char *kind,
                               const char *name) {
-  const slot *s = find(r, kind, name);
+  const row *s = find(r, kind, name);
   return s ? &s->r : NULL;
 }
 
@@ -139,21 +140,22 @@
   return at;
 }
 
-/* The oldest tombstone goes first; deltas from before it are then refused. */
+/* Drops the oldest tombstones past PW_TOMBSTONE_MAX. The floor rises with them:
+** deltas from before it would miss the deletion. */
 static void trim_tombstones(pw_res *r) {
   pw_resource *one = r->first;
   while (one && r->tombstones > PW_TOMBSTONE_MAX) {
     pw_resource *next = one->next;
     if (one->deleted) {
       r->floor = one->revision;
-      drop(r, (slot *)one);
+      drop(r, (row *)one);
     }
     one = next;
   }
 }
 
-static slot *add(pw_res *r, const char *kind, const char *name) {
-  slot *s = pw_alloc(sizeof *s);
+static row *add(pw_res *r, const char *kind, const char *name) {
+  row *s = pw_alloc(sizeof *s);
   char id[ID_MAX];
   snprintf(id, sizeof id, "%s/%s", kind, name);
   s->r.id = pw_dup(id);
@@ -165,9 +167,9 @@
 
 void pwres_put(pw_res *r, const char *kind, const char *name, uint64_t version,
                uint64_t revision, int deleted, const char *spec) {
-  slot *s = find(r, kind, name);
+  row *s = find(r, kind, name);
   if (s)
-    unlink_one(r, &s->r);
+    unlink_resource(r, &s->r);
   else
     s = add(r, kind, name);
   r->tombstones += !!deleted - s->r.deleted;
@@ -187,17 +189,17 @@
     r->revision = revision;
 }
 
-/* A full list names all there is: what it leaves out is gone. */
+/* Drops the resources that a full list does not contain: they were deleted. */
 static void drop_unlisted(pw_res *r, Pw__Resource **list, size_t n) {
   pw_res *listed = pwres_new();
   for (size_t i = 0; i < n; i++)
     add(listed, list[i]->kind, list[i]->name);
-  slot *s, *tmp;
+  row *s, *tmp;
   HASH_ITER(hh, r->by_id, s, tmp) {
     if (!find(listed, s->r.kind, s->r.name))
       drop(r, s);
   }
-  slot *t, *tmp2;
+  row *t, *tmp2;
   HASH_ITER(hh, listed->by_id, t, tmp2) {
     HASH_DEL(listed->by_id, t);
     free(t->r.id);
@@ -220,7 +222,7 @@
   }
   for (size_t i = 0; i < n; i++) {
     const Pw__Resource *in = list[i];
-    const slot *have = find(r, in->kind, in->name);
+    const row *have = find(r, in->kind, in->name);
     if (have && have->r.revision >= in->revision)
       continue;
     pwres_put(r, in->kind, in->name, in->version, in->revision, in->deleted,
--- a/packages/store/pwres.h
+++ b/packages/store/pwres.h
@@ -1,8 +1,8 @@
-/* pwres.h: a set of resources with revisions, and deltas between them.
+/* pwres.h: a set of resources with revisions, and deltas between revisions.
 **
-** Control instances, entries and agents all hold one. Resources are linked in
-** order of revision, so a delta since any revision is a walk from the end and
-** is never larger than everything. */
+** Control instances, entries and agents each have one. Resources are linked in
+** order of revision, so the delta since a revision is the tail of the list and
+** is never larger than the full set. */
 #ifndef PWRES_H
 #define PWRES_H
 
@@ -11,14 +11,16 @@
 
 #include <stdint.h>
 
-/* An availability zone whose targets get nothing new; its name is the zone's. */
+/* Kind of resource: an availability zone whose targets get no new requests. The
+** resource has the availability zone's name. */
 #define PW_KIND_EVACUATION "evacuation"
 
-/* Where the roll-out of a service to targets of another version stands; its name is the
-** service's. */
+/* Kind of resource: the progress of a service's rollout to targets of another
+** version. The resource has the service's name. */
 #define PW_KIND_SERVICE_ROLLOUT "service-rollout"
 
-/* Kinds of resources; the order is that in which they depend on each other. */
+/* Kinds of resources, roughly in order of dependency: most refer only to kinds
+** that stand before them. */
 #define PW_KINDS(X)                                                            \
   X("model")                                                                   \
   X("adapter")                                                                 \
@@ -32,7 +34,8 @@
   X("rollout")                                                                 \
   X("assignment")
 
-/* One resource. `spec` is JSON text, "" once deleted. */
+/* One resource, or the tombstone of a deleted one. `spec` is JSON text; that of a
+** tombstone is "". */
 typedef struct pw_resource {
   char *id; /* "KIND/NAME" */
   char *kind;
@@ -41,7 +44,7 @@
   uint64_t revision;
   int deleted;
   char *spec;
-  struct pw_resource *prev, *next; /* by revision */
+  struct pw_resource *prev, *next; /* in order of revision */
 } pw_resource;
 
 typedef struct pw_res pw_res;
@@ -49,47 +52,53 @@
 pw_res *pwres_new(void);
 void pwres_free(pw_res *r);
 
-/* Newest revision held, and the oldest a delta can start from. */
+/* The newest revision, and the oldest one that a delta can start from. */
 uint64_t pwres_revision(const pw_res *r);
 uint64_t pwres_floor(const pw_res *r);
 
-/* A live resource, or NULL. */
+/* Finds a resource; NULL when there is none or it was deleted. */
 const pw_resource *pwres_get(const pw_res *r, const char *kind,
                              const char *name);
 
-/* Also those deleted: the tombstone keeps its version. */
+/* Finds a resource or the tombstone of a deleted one, which keeps its version.
+** NULL when there is neither. */
 const pw_resource *pwres_find(const pw_res *r, const char *kind,
                               const char *name);
 
-/* First in order of revision; follow ->next. Tombstones are included. */
+/* The first resource in order of revision; follow ->next for the others.
+** Tombstones are included. */
 const pw_resource *pwres_first(const pw_res *r);
 
-/* Whether it is of that kind and not deleted. */
+/* Whether a resource is of this kind and not deleted. */
 int pwres_is(const pw_resource *one, const char *kind);
 
-/* First one newer than `since`, or NULL. */
+/* The first resource or tombstone newer than `since`, or NULL. */
 const pw_resource *pwres_after(const pw_res *r, uint64_t since);
 
-/* Writes one at the given revision, which must not be older than any. */
+/* Writes a resource at the given revision, which must not be older than that of
+** any other resource. */
 void pwres_put(pw_res *r, const char *kind, const char *name, uint64_t version,
                uint64_t revision, int deleted, const char *spec);
 
-/* Moves on to a revision that changed nothing here. */
+/* Raises the revision without a change of resources. */
 void pwres_advance(pw_res *r, uint64_t revision);
 
-/* Takes in a delta from `since` to `revision`, or, when full, all there is.
-** Never goes back: an older one is ignored and gives 0. A delta that starts
-** past what is held gives -1: ask again. Else 1. */
+/* Merges a delta from `since` to `revision`, or, when `full`, the complete set.
+** Returns 1 when merged; 0 when it is not newer and was ignored, since revisions
+** never go back; -1 when the delta starts after the newest revision here, so
+** that changes in between are missing and must be requested. */
 int pwres_merge(pw_res *r, int full, uint64_t since, uint64_t revision,
                 Pw__Resource **list, size_t n);
 
-/* Forgets everything, for loading a snapshot. */
+/* Removes all resources before a snapshot is loaded. Revision and floor become
+** `floor`. */
 void pwres_clear(pw_res *r, uint64_t floor);
 
-/* A pb copy of one resource; freed by the pb functions. */
+/* Copies a resource into a protobuf message; free it with
+** pw__resource__free_unpacked. */
 Pw__Resource *pwres_pack(const pw_resource *one);
 
-/* Non-zero for a known kind, and for one that only the leader writes. */
+/* Whether a kind is known, and whether only the control leader writes it. */
 int pwres_is_kind(const char *kind);
 int pwres_is_leaders(const char *kind);
 
--- a/packages/store/pwschema.c
+++ b/packages/store/pwschema.c
@@ -1,4 +1,4 @@
-/* pwschema.c: the fields of each kind of resource, in one table. */
+/* pwschema.c: checks of resources against one table of the fields of each kind. */
 #include "pwschema.h"
 
 #include "pwlimits.h"
@@ -12,39 +12,39 @@
   F_STRING,
   F_NUMBER,
   F_BOOL,
-  F_NAMES,
+  F_NAMES, /* list of strings */
   F_OBJECT,
-  F_STEPS
+  F_STEPS /* rising list of percentages */
 } field_type;
 
 typedef struct field_row {
   const char *kind;
   const char *field;
   field_type type;
-  int needed;
-  double min, max;    /* F_NUMBER */
-  const char *refers; /* kind that the value or values name, or NULL */
+  int required;
+  double min, max;    /* limits of an F_NUMBER */
+  const char *refers; /* kind of resource that the value names, or NULL */
 } field_row;
 
-#define BIG 1e15
+#define UNLIMITED 1e15 /* larger than any sensible value */
 
 static const field_row rows[] = {
-    {"model", "context_tokens", F_NUMBER, 0, 1, BIG, NULL},
-    {"model", "size_bytes", F_NUMBER, 0, 0, BIG, NULL},
+    {"model", "context_tokens", F_NUMBER, 0, 1, UNLIMITED, NULL},
+    {"model", "size_bytes", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"model", "replicas", F_NUMBER, 0, 0, 100000, NULL},
     {"model", "version", F_STRING, 0, 0, 0, "version"},
     {"adapter", "model", F_STRING, 1, 0, 0, "model"},
-    {"adapter", "size_bytes", F_NUMBER, 0, 0, BIG, NULL},
+    {"adapter", "size_bytes", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"version", "model", F_STRING, 1, 0, 0, "model"},
-    {"version", "size_bytes", F_NUMBER, 0, 0, BIG, NULL},
+    {"version", "size_bytes", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"version", "steps", F_STEPS, 0, 0, 100, NULL},
     {"version", "max_error_share", F_NUMBER, 0, 0, 1, NULL},
     {"version", "step_s", F_NUMBER, 0, 0, 86400, NULL},
-    {"version", "min_requests", F_NUMBER, 0, 0, BIG, NULL},
+    {"version", "min_requests", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"workspace", "key_hashes", F_NAMES, 0, 0, 0, NULL},
     {"workspace", "weight", F_NUMBER, 0, 1, 1000, NULL},
     {"workspace", "priority", F_NUMBER, 0, 0, 9, NULL},
-    {"workspace", "tokens_per_s", F_NUMBER, 0, 0, BIG, NULL},
+    {"workspace", "tokens_per_s", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"workspace", "models", F_NAMES, 0, 0, 0, "model"},
     {"workspace", "operator", F_BOOL, 0, 0, 0, NULL},
     {"target", "agent", F_STRING, 1, 0, 0, NULL},
@@ -60,40 +60,40 @@
     {"service", "timeout_ms", F_NUMBER, 0, 1, PW_DEADLINE_MAX, NULL},
     {"policy", "bound", F_NUMBER, 0, 1.01, 100, NULL},
     {"policy", "bound_margin", F_NUMBER, 0, 0, 1, NULL},
-    {"policy", "floor_tokens", F_NUMBER, 0, 1, BIG, NULL},
-    {"policy", "pointer_keep_ms", F_NUMBER, 0, 0, BIG, NULL},
+    {"policy", "floor_tokens", F_NUMBER, 0, 1, UNLIMITED, NULL},
+    {"policy", "pointer_keep_ms", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"policy", "retry_share", F_NUMBER, 0, 0, 1, NULL},
-    {"policy", "min_prefix_tokens", F_NUMBER, 0, 0, BIG, NULL},
+    {"policy", "min_prefix_tokens", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"policy", "reuse_worth", F_NUMBER, 0, 0, 1000, NULL},
-    {"policy", "load_bytes_per_s", F_NUMBER, 0, 0, BIG, NULL},
-    {"policy", "weights_bytes_per_s", F_NUMBER, 0, 0, BIG, NULL},
+    {"policy", "load_bytes_per_s", F_NUMBER, 0, 0, UNLIMITED, NULL},
+    {"policy", "weights_bytes_per_s", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"policy", "loads_at_once", F_NUMBER, 0, 1, 10000, NULL},
-    {"policy", "once_from_s", F_NUMBER, 0, 0, BIG, NULL},
+    {"policy", "once_from_s", F_NUMBER, 0, 0, UNLIMITED, NULL},
     {"policy", "once_keep_s", F_NUMBER, 0, 60, 7 * 86400, NULL},
     {PW_KIND_EVACUATION, "why", F_STRING, 0, 0, 0, NULL},
     {PW_KIND_SERVICE_ROLLOUT, "version", F_STRING, 1, 0, 0, NULL},
     {PW_KIND_SERVICE_ROLLOUT, "over_ms", F_NUMBER, 1, 1, 86400000, NULL},
     {PW_KIND_SERVICE_ROLLOUT, "share", F_NUMBER, 1, 0, 1000, NULL},
     {PW_KIND_SERVICE_ROLLOUT, "state", F_STRING, 1, 0, 0, NULL},
-    {PW_KIND_SERVICE_ROLLOUT, "begun", F_NUMBER, 1, 0, BIG, NULL},
-    {PW_KIND_SERVICE_ROLLOUT, "elapsed_ms", F_NUMBER, 1, 0, BIG, NULL},
-    {PW_KIND_SERVICE_ROLLOUT, "written", F_NUMBER, 1, 0, BIG, NULL},
+    {PW_KIND_SERVICE_ROLLOUT, "begun", F_NUMBER, 1, 0, UNLIMITED, NULL},
+    {PW_KIND_SERVICE_ROLLOUT, "elapsed_ms", F_NUMBER, 1, 0, UNLIMITED, NULL},
+    {PW_KIND_SERVICE_ROLLOUT, "written", F_NUMBER, 1, 0, UNLIMITED, NULL},
     {"rollout", "from", F_STRING, 1, 0, 0, NULL},
     {"rollout", "to", F_STRING, 1, 0, 0, NULL},
     {"rollout", "step", F_NUMBER, 1, 0, 100, NULL},
     {"rollout", "share", F_NUMBER, 1, 0, 100, NULL},
     {"rollout", "state", F_STRING, 1, 0, 0, NULL},
     {"rollout", "why", F_STRING, 0, 0, 0, NULL},
-    {"rollout", "asked", F_NUMBER, 1, 0, BIG, NULL},
-    {"assignment", "term", F_NUMBER, 1, 0, BIG, NULL},
+    {"rollout", "asked", F_NUMBER, 1, 0, UNLIMITED, NULL},
+    {"assignment", "term", F_NUMBER, 1, 0, UNLIMITED, NULL},
     {"assignment", "role", F_STRING, 0, 0, 0, NULL},
     {"assignment", "models", F_OBJECT, 1, 0, 0, NULL},
 };
 
-#define NROWS (sizeof rows / sizeof rows[0])
+#define ROW_COUNT (sizeof rows / sizeof rows[0])
 
-static const field_row *find(const char *kind, const char *field) {
-  for (size_t i = 0; i < NROWS; i++)
+static const field_row *find_row(const char *kind, const char *field) {
+  for (size_t i = 0; i < ROW_COUNT; i++)
     if (!strcmp(rows[i].kind, kind) && !strcmp(rows[i].field, field))
       return &rows[i];
   return NULL;
@@ -113,10 +113,10 @@
   size_t i;
   json_t *item;
   if (!json_is_array(v))
-    return "a list of strings is allowed";
+    return "a list of strings is required";
   json_array_foreach(v, i, item) {
     if (!json_is_string(item))
-      return "a list of strings is allowed";
+      return "a list of strings is required";
   }
   return NULL;
 }
@@ -124,14 +124,14 @@
 static const char *check_steps(const json_t *v) {
   size_t i;
   json_t *item;
-  double before = 0;
+  double last = 0;
   if (!json_is_array(v))
-    return "a rising list of percentages is allowed";
+    return "a rising list of percentages up to 100 is required";
   json_array_foreach(v, i, item) {
     double step = json_number_value(item);
-    if (!json_is_number(item) || step <= before || step > 100)
-      return "a rising list of percentages is allowed";
-    before = step;
+    if (!json_is_number(item) || step <= last || step > 100)
+      return "a rising list of percentages up to 100 is required";
+    last = step;
   }
   return NULL;
 }
@@ -140,22 +140,22 @@
                                size_t cap) {
   switch (r->type) {
   case F_STRING:
-    return json_is_string(v) ? NULL : "a string is allowed";
+    return json_is_string(v) ? NULL : "a string is required";
   case F_BOOL:
-    return json_is_boolean(v) ? NULL : "true or false is allowed";
+    return json_is_boolean(v) ? NULL : "true or false is required";
   case F_NAMES:
     return check_names(v);
   case F_STEPS:
     return check_steps(v);
   case F_OBJECT:
-    return json_is_object(v) ? NULL : "an object is allowed";
+    return json_is_object(v) ? NULL : "an object is required";
   case F_NUMBER:
     break;
   }
   double x = json_number_value(v);
   if (json_is_number(v) && x >= r->min && x <= r->max)
     return NULL;
-  snprintf(buf, cap, "a number from %g to %g is allowed", r->min, r->max);
+  snprintf(buf, cap, "a number from %g to %g is required", r->min, r->max);
   return buf;
 }
 
@@ -165,7 +165,7 @@
   json_t *value;
   char buf[96];
   json_object_foreach(spec, field, value) {
-    const field_row *r = find(kind, field);
+    const field_row *r = find_row(kind, field);
     if (!r) {
       snprintf(reason, cap, "spec.%.64s: unknown field", field);
       return PW_E_SCHEMA;
@@ -176,11 +176,12 @@
       return PW_E_SCHEMA;
     }
   }
-  for (size_t i = 0; i < NROWS; i++) {
-    if (strcmp(rows[i].kind, kind) != 0 || !rows[i].needed)
+  for (size_t i = 0; i < ROW_COUNT; i++) {
+    if (strcmp(rows[i].kind, kind) != 0 || !rows[i].required)
       continue;
     if (!json_object_get(spec, rows[i].field)) {
-      snprintf(reason, cap, "spec.%s: missing", rows[i].field);
+      snprintf(reason, cap, "spec.%s: required field is missing",
+               rows[i].field);
       return PW_E_SCHEMA;
     }
   }
@@ -190,11 +191,12 @@
 pw_code pwschema_check(const char *kind, const char *name, const char *spec,
                        char *reason, size_t cap) {
   if (!pwres_is_kind(kind)) {
-    snprintf(reason, cap, "kind: no such kind");
+    snprintf(reason, cap, "kind: unknown kind of resource");
     return PW_E_SCHEMA;
   }
   if (!is_name(name)) {
-    snprintf(reason, cap, "name: 1 to %d letters, digits, '-', '_', '.'",
+    snprintf(reason, cap,
+             "name: must be 1 to %d letters, digits, '-', '_' or '.'",
              PW_NAME_MAX - 1);
     return PW_E_SCHEMA;
   }
@@ -224,7 +226,7 @@
                             char *reason, size_t cap) {
   json_t *doc = json_loads(spec, 0, NULL);
   pw_code rc = PW_OK;
-  for (size_t i = 0; i < NROWS && rc == PW_OK; i++) {
+  for (size_t i = 0; i < ROW_COUNT && rc == PW_OK; i++) {
     const field_row *row = &rows[i];
     const json_t *v = json_object_get(doc, row->field);
     if (!v || !row->refers || strcmp(row->kind, kind) != 0)
@@ -240,7 +242,7 @@
   return rc;
 }
 
-static int names(const json_t *v, const char *name) {
+static int value_names(const json_t *v, const char *name) {
   if (json_is_string(v))
     return !strcmp(json_string_value(v), name);
   for (size_t i = 0; i < json_array_size(v); i++) {
@@ -251,14 +253,15 @@
   return 0;
 }
 
-static int refers(const pw_resource *one, const char *kind, const char *name) {
+static int refers_to(const pw_resource *one, const char *kind,
+                     const char *name) {
   int found = 0;
   json_t *doc = json_loads(one->spec, 0, NULL);
-  for (size_t i = 0; i < NROWS && !found; i++) {
+  for (size_t i = 0; i < ROW_COUNT && !found; i++) {
     const field_row *row = &rows[i];
     if (row->refers && !strcmp(row->refers, kind) &&
         !strcmp(row->kind, one->kind))
-      found = names(json_object_get(doc, row->field), name);
+      found = value_names(json_object_get(doc, row->field), name);
   }
   json_decref(doc);
   return found;
@@ -267,9 +270,9 @@
 int pwschema_is_referred(const pw_res *r, const char *kind, const char *name,
                          char *reason, size_t cap) {
   for (const pw_resource *one = pwres_first(r); one; one = one->next) {
-    if (one->deleted || !refers(one, kind, name))
+    if (one->deleted || !refers_to(one, kind, name))
       continue;
-    snprintf(reason, cap, "%s still names it", one->id);
+    snprintf(reason, cap, "%s still refers to it", one->id);
     return 1;
   }
   return 0;
--- a/packages/store/pwschema.h
+++ b/packages/store/pwschema.h
@@ -1,4 +1,4 @@
-/* pwschema.h: what each kind of resource may hold. */
+/* pwschema.h: checks of a resource's fields and of its references to others. */
 #ifndef PWSCHEMA_H
 #define PWSCHEMA_H
 
@@ -7,17 +7,18 @@
 
 #include <stddef.h>
 
-/* Checks a spec (JSON text) of a kind. On PW_E_SCHEMA the reason begins with
-** the field's path, such as "spec.weight: ...". */
+/* Checks name and spec (JSON text) of a resource. PW_E_SCHEMA with a reason that
+** begins with the field's path, such as "spec.weight: ...". */
 pw_code pwschema_check(const char *kind, const char *name, const char *spec,
                        char *reason, size_t cap);
 
-/* Checks that what the spec names exists in r. PW_E_REFERENCE otherwise. */
+/* Checks that every resource that a spec names exists in `r`. PW_E_REFERENCE and
+** a reason otherwise. */
 pw_code pwschema_references(const pw_res *r, const char *kind, const char *spec,
                             char *reason, size_t cap);
 
-/* Whether a live resource other than those deleted refers to KIND/NAME;
-** fills reason with which. */
+/* Whether a resource that is not deleted refers to the resource kind/name. The
+** reason then says which one. */
 int pwschema_is_referred(const pw_res *r, const char *kind, const char *name,
                          char *reason, size_t cap);
 
--- a/packages/store/pwstate.c
+++ b/packages/store/pwstate.c
@@ -12,7 +12,8 @@
 #include <string.h>
 #include <uthash.h>
 
-#define STATE_VERSION 3 /* 2: claims that are past; 3: the document */
+/* Version 2 added past claims, version 3 the configuration document. */
+#define STATE_VERSION 3
 #define REASON_BYTES 256
 #define MS_PER_S 1000
 
@@ -20,23 +21,25 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_NO_RESEND_IN_SNAPSHOT = 11, /* a snapshot forgets resend results */
-  MUT_NO_VERSION_CHECK = 12       /* equal versions both win */
+  MUT_NO_RESEND_IN_SNAPSHOT =
+      11,                   /* a snapshot omits outcomes kept for resends */
+  MUT_NO_VERSION_CHECK = 12 /* two changes of the same version both succeed */
 };
 
-/* uthash keeps the order in which outcomes were added. */
-typedef struct kept {
+/* The outcome of a change that may be sent again. uthash keeps the order of
+** insertion. */
+typedef struct outcome_row {
   Pw__KeptOutcome *k;
   UT_hash_handle hh;
-} kept;
+} outcome_row;
 
 struct pw_state {
   pw_res *res;
   pw_once *once;
   pw_doc *doc;
-  kept *outcomes;
-  uint64_t keep_ms; /* of once-claims, as policy has it at keep_read */
-  uint64_t keep_read;
+  outcome_row *outcomes;
+  uint64_t keep_ms; /* retention of claims, by the policy at keep_revision */
+  uint64_t keep_revision;
 };
 
 pw_state *pwstate_new(void) {
@@ -48,16 +51,16 @@
   return s;
 }
 
-static void drop_kept(pw_state *s, kept *k) {
+static void drop_outcome(pw_state *s, outcome_row *k) {
   HASH_DEL(s->outcomes, k);
   pw__kept_outcome__free_unpacked(k->k, NULL);
   free(k);
 }
 
 static void clear_outcomes(pw_state *s) {
-  kept *k, *tmp;
+  outcome_row *k, *tmp;
   HASH_ITER(hh, s->outcomes, k, tmp) {
-    drop_kept(s, k);
+    drop_outcome(s, k);
   }
 }
 
@@ -84,14 +87,14 @@
 }
 
 static void keep_outcome(pw_state *s, Pw__KeptOutcome *k) {
-  kept *row = pw_alloc(sizeof *row);
+  outcome_row *row = pw_alloc(sizeof *row);
   row->k = k;
   HASH_ADD_KEYPTR(hh, s->outcomes, k->key, strlen(k->key), row);
   if (HASH_COUNT(s->outcomes) > PW_RESEND_MAX)
-    drop_kept(s, s->outcomes);
+    drop_outcome(s, s->outcomes);
 }
 
-static Pw__Outcome *refusal(pw_code code, const char *reason) {
+static Pw__Outcome *new_outcome(pw_code code, const char *reason) {
   Pw__Outcome *o = pw_alloc(sizeof *o);
   pw__outcome__init(o);
   o->code = code;
@@ -108,7 +111,8 @@
   o->resources[o->n_resources++] = pwres_pack(one);
 }
 
-/* The version a put must name: that of the live resource, or 0. */
+/* Checks the version that a put names: that of the resource, or 0 when there is
+** none or it was deleted. */
 static pw_code check_version(const pw_state *s, const Pw__Put *put) {
   const pw_resource *one = pwres_get(s->res, put->kind, put->name);
   if (put->remove && !one)
@@ -121,8 +125,10 @@
 static pw_code check_put(const pw_state *s, const Pw__Put *put, char *reason) {
   pw_code rc = check_version(s, put);
   if (rc == PW_E_CONFLICT)
-    pw_copy(reason, REASON_BYTES,
-            "written against another version; the winner is shown");
+    pw_copy(
+        reason, REASON_BYTES,
+        "the resource has another version than the change names; the current "
+        "resource is shown");
   if (rc == PW_E_NOT_FOUND)
     pw_copy(reason, REASON_BYTES, "no such resource");
   if (rc != PW_OK || put->remove)
@@ -137,7 +143,8 @@
             put->spec);
 }
 
-/* References are judged as they stand after the whole change. */
+/* Checks references after all puts of a change were written, so that resources
+** of one change may refer to each other in any order. */
 static pw_code check_references(const pw_state *s, const Pw__Change *ch,
                                 char *reason) {
   for (size_t i = 0; i < ch->n_puts; i++) {
@@ -155,40 +162,41 @@
   return PW_OK;
 }
 
-typedef struct before {
+/* A resource as it was before a change. */
+typedef struct old_resource {
   uint64_t version, revision;
   int existed, deleted;
   char *spec;
-} before;
+} old_resource;
 
-static before remember(const pw_state *s, const Pw__Put *p) {
+static old_resource save_resource(const pw_state *s, const Pw__Put *p) {
   const pw_resource *one = pwres_find(s->res, p->kind, p->name);
   if (!one)
-    return (before){0};
-  return (before){one->version, one->revision, 1, one->deleted,
-                  pw_dup(one->spec)};
+    return (old_resource){0};
+  return (old_resource){one->version, one->revision, 1, one->deleted,
+                        pw_dup(one->spec)};
 }
 
-/* Writes all, checks references, and writes back what was there when one is
-** missing. Written-back resources take a new revision: revisions only rise,
-** and a delta that repeats a resource does no harm. */
+/* Writes all puts, checks the references, and restores the old resources when a
+** reference is missing. Restored resources get the new revision, because
+** revisions only rise; a delta that repeats a resource does no harm. */
 static pw_code write_all(pw_state *s, const Pw__Change *ch, char *reason) {
   uint64_t revision = pwres_revision(s->res) + 1;
-  before *was = pw_alloc(sizeof *was * (ch->n_puts + 1));
+  old_resource *old = pw_alloc(sizeof *old * (ch->n_puts + 1));
   for (size_t i = 0; i < ch->n_puts; i++) {
-    was[i] = remember(s, ch->puts[i]);
+    old[i] = save_resource(s, ch->puts[i]);
     write_put(s, ch->puts[i], revision);
   }
   pw_code rc = check_references(s, ch, reason);
   for (size_t i = ch->n_puts; rc != PW_OK && i-- > 0;) {
     const Pw__Put *p = ch->puts[i];
-    int gone = !was[i].existed || was[i].deleted;
-    pwres_put(s->res, p->kind, p->name, was[i].version, revision, gone,
-              was[i].spec ? was[i].spec : "");
+    int gone = !old[i].existed || old[i].deleted;
+    pwres_put(s->res, p->kind, p->name, old[i].version, revision, gone,
+              old[i].spec ? old[i].spec : "");
   }
   for (size_t i = 0; i < ch->n_puts; i++)
-    free(was[i].spec);
-  free(was);
+    free(old[i].spec);
+  free(old);
   return rc;
 }
 
@@ -199,7 +207,7 @@
     pw_code rc = check_put(s, p, reason);
     if (rc == PW_OK)
       continue;
-    Pw__Outcome *o = refusal(rc, reason);
+    Pw__Outcome *o = new_outcome(rc, reason);
     const pw_resource *one = pwres_get(s->res, p->kind, p->name);
     if (one)
       add_resource(o, one);
@@ -207,7 +215,7 @@
     return o;
   }
   pw_code rc = write_all(s, ch, reason);
-  Pw__Outcome *o = refusal(rc, reason);
+  Pw__Outcome *o = new_outcome(rc, reason);
   o->revision = pwres_revision(s->res);
   for (size_t i = 0; rc == PW_OK && i < ch->n_puts; i++)
     add_resource(o, pwres_find(s->res, ch->puts[i]->kind, ch->puts[i]->name));
@@ -217,13 +225,13 @@
 static Pw__Outcome *apply_resend(pw_state *s, const Pw__Change *ch) {
   if (!ch->resend[0])
     return apply_change(s, ch);
-  kept *row;
+  outcome_row *row;
   HASH_FIND_STR(s->outcomes, ch->resend, row);
   if (row) {
     const ProtobufCBinaryData *d = &row->k->digest;
     if (pw_same(d->data, d->len, ch->digest.data, ch->digest.len))
       return PWPB_COPY(row->k->outcome);
-    return refusal(PW_E_REUSED, pwcode_text(PW_E_REUSED));
+    return new_outcome(PW_E_REUSED, pwcode_text(PW_E_REUSED));
   }
   Pw__Outcome *o = apply_change(s, ch);
   Pw__KeptOutcome *k = pw_alloc(sizeof *k);
@@ -236,7 +244,7 @@
   return o;
 }
 
-/* A time in seconds that a policy sets, in ms. */
+/* Returns a policy's field, a time in seconds, in milliseconds. */
 static uint64_t policy_ms(const pw_state *s, const char *policy,
                           const char *field, uint64_t otherwise) {
   const pw_resource *one = pwres_get(s->res, "policy", policy);
@@ -246,18 +254,20 @@
   return (uint64_t)(ms * MS_PER_S);
 }
 
-/* Read anew only when the configuration has changed. */
-static uint64_t once_keep(pw_state *s) {
-  if (s->keep_read == pwres_revision(s->res))
+/* Retention time of claims. Also sets until when unknown keys are refused. Reads
+** the policies only when the resources have changed since the last call. */
+static uint64_t claim_keep_ms(pw_state *s) {
+  if (s->keep_revision == pwres_revision(s->res))
     return s->keep_ms;
   s->keep_ms = policy_ms(s, "default", "once_keep_s", PW_ONCE_KEEP_MS);
   pwonce_hold(s->once, policy_ms(s, PWSTATE_ONCE_HOLD, "once_from_s", 0));
-  s->keep_read = pwres_revision(s->res);
+  s->keep_revision = pwres_revision(s->res);
   return s->keep_ms;
 }
 
-/* Taken when it is newer and follows what is held here: an instance that began
-** from a snapshot has no older bases, and all must do the same. */
+/* Applies a document that is newer and is a delta against the newest version.
+** Deltas against older versions are refused: an instance that started from a
+** snapshot does not have these, and all instances must decide alike. */
 static Pw__Outcome *apply_publish(pw_state *s, const Pw__Document *d) {
   int is_newer = d->version > pwdoc_version(s->doc);
   pw_code rc = PW_OK;
@@ -265,7 +275,7 @@
     rc = PW_E_STALE;
   else
     rc = pwdoc_take(s->doc, d);
-  return refusal(rc, rc == PW_OK ? "" : pwcode_text(rc));
+  return new_outcome(rc, rc == PW_OK ? "" : pwcode_text(rc));
 }
 
 void pwstate_apply(pw_state *s, const Pw__Command *cmd, Pw__Outcome **outcome,
@@ -277,7 +287,7 @@
     *outcome = apply_resend(s, cmd->change);
     break;
   case PW__COMMAND__BODY_CLAIM:
-    pwonce_expire(s->once, cmd->wall, once_keep(s));
+    pwonce_expire(s->once, cmd->wall, claim_keep_ms(s));
     *claimed = pwonce_claim(s->once, cmd->wall, cmd->claim);
     break;
   case PW__COMMAND__BODY_RECORD:
@@ -305,7 +315,7 @@
   out->outcomes = pw_alloc(sizeof *out->outcomes * (n + 1));
   if (PW_MUTATION == MUT_NO_RESEND_IN_SNAPSHOT)
     return;
-  for (const kept *k = s->outcomes; k; k = k->hh.next)
+  for (const outcome_row *k = s->outcomes; k; k = k->hh.next)
     out->outcomes[out->n_outcomes++] = k->k;
 }
 
@@ -318,14 +328,14 @@
   pack_outcomes(s, &out);
   pwonce_pack(s->once, &out);
   if (pwdoc_version(s->doc))
-    out.document = (Pw__Document *)pwdoc_packed(s->doc, 0); /* borrowed */
+    out.document = (Pw__Document *)pwdoc_packed(s->doc, 0); /* not owned */
   *n = pw__state__get_packed_size(&out);
   uint8_t *bytes = pw_alloc(*n);
   pw__state__pack(&out, bytes);
   for (size_t i = 0; i < out.n_resources; i++)
     pw__resource__free_unpacked(out.resources[i], NULL);
   free(out.resources);
-  free(out.claims); /* borrowed, as the outcomes */
+  free(out.claims); /* only the list: the claims belong to the ledger */
   free(out.outcomes);
   free(out.past.data);
   return bytes;
@@ -350,7 +360,7 @@
   for (size_t i = 0; i < in->n_outcomes; i++)
     if (in->outcomes[i]->outcome)
       keep_outcome(s, PWPB_COPY(in->outcomes[i]));
-  s->keep_read = 0;
+  s->keep_revision = 0;
   s->keep_ms = PW_ONCE_KEEP_MS;
   pwdoc_clear(s->doc);
   pw_code rc = pwonce_load(s->once, in);
--- a/packages/store/pwstore.c
+++ b/packages/store/pwstore.c
@@ -1,4 +1,5 @@
-/* pwstore.c: log segments, snapshot and identity of one data folder. */
+/* pwstore.c: reads and writes log segments, snapshot and identity of a data
+** folder. */
 #define _GNU_SOURCE
 #include "pwstore.h"
 
@@ -15,11 +16,11 @@
 
 #define FILE_VERSION 1
 #define PATH_BYTES 4096
-#define CHUNK (256 * 1024) /* space is reserved in these steps */
+#define RESERVE_STEP (256 * 1024) /* bytes of disk space reserved at a time */
 #define LOG_MAGIC 0x474c5750U
 #define SNAP_MAGIC 0x4e535750U
 #define ID_MAGIC 0x44495750U
-#define SINK_BYTES 65536 /* of a snapshot, written at once */
+#define SINK_BYTES 65536 /* of a snapshot, buffered for one write */
 
 typedef struct file_header {
   uint32_t magic;
@@ -35,7 +36,7 @@
 
 typedef struct identity_file {
   file_header head;
-  uint64_t slot;
+  uint64_t control_id;
   uint64_t sum;
 } identity_file;
 
@@ -96,28 +97,38 @@
                             uint32_t magic, const char *path, pw_buf *err) {
   file_header h;
   if (n < sizeof h) {
-    pwbuf_fmt(err, "%s: shorter than its header\n", path);
+    pwbuf_fmt(err, "%s: truncated: the file is shorter than its header\n",
+              path);
     return PW_E_CORRUPT;
   }
   memcpy(&h, data, sizeof h);
   if (h.magic != magic) {
-    pwbuf_fmt(err, "%s: not a peatwell file\n", path);
+    pwbuf_fmt(err, "%s: not a peatwell file, or one of another type\n", path);
     return PW_E_CORRUPT;
   }
   if (h.version > FILE_VERSION) {
-    pwbuf_fmt(err, "%s: version %u is newer than this program's %d\n", path,
-              h.version, FILE_VERSION);
+    pwbuf_fmt(
+        err,
+        "%s: format version %u is newer than version %d, the newest that this "
+        "program reads\n",
+        path, h.version, FILE_VERSION);
     return PW_E_VERSION;
   }
   if (h.disk_id != s->disk_id) {
-    pwbuf_fmt(err, "%s: belongs to another disk\n", path);
+    pwbuf_fmt(
+        err,
+        "%s: belongs to another disk: its disk id differs from that of the "
+        "identity file\n",
+        path);
     return PW_E_CORRUPT;
   }
   return PW_OK;
 }
 
-static pw_code write_identity(pw_store *s, const char *path, uint32_t slot) {
-  identity_file f = {.head = {ID_MAGIC, FILE_VERSION, 0}, .slot = slot};
+static pw_code write_identity(pw_store *s, const char *path,
+                              uint32_t control_id) {
+  identity_file f = {.head = {ID_MAGIC, FILE_VERSION, 0},
+                     .control_id = control_id};
   while (f.head.disk_id == 0)
     randombytes_buf(&f.head.disk_id, sizeof f.head.disk_id);
   f.sum = XXH3_64bits(&f, offsetof(identity_file, sum));
@@ -127,13 +138,13 @@
   return PW_OK;
 }
 
-static pw_code read_identity(pw_store *s, uint32_t slot, pw_buf *err) {
+static pw_code read_identity(pw_store *s, uint32_t control_id, pw_buf *err) {
   char path[PATH_BYTES];
   path_of(s, "identity", path);
   size_t n;
   uint8_t *data = pwfile_read(path, &n);
   if (!data)
-    return errno == ENOENT ? write_identity(s, path, slot) : PW_E_IO;
+    return errno == ENOENT ? write_identity(s, path, control_id) : PW_E_IO;
   identity_file f = {0};
   pw_code rc = PW_OK;
   if (n >= sizeof f)
@@ -141,12 +152,14 @@
   s->disk_id = f.head.disk_id;
   rc = check_header(s, data, n, ID_MAGIC, path, err);
   if (rc == PW_OK && f.sum != XXH3_64bits(&f, offsetof(identity_file, sum))) {
-    pwbuf_fmt(err, "%s: damaged\n", path);
+    pwbuf_fmt(err, "%s: damaged: checksum does not match\n", path);
     rc = PW_E_CORRUPT;
   }
-  if (rc == PW_OK && f.slot != slot) {
-    pwbuf_fmt(err, "%s: this disk belongs to control.id %llu\n", path,
-              (unsigned long long)f.slot);
+  if (rc == PW_OK && f.control_id != control_id) {
+    pwbuf_fmt(err,
+              "%s: this disk belongs to control.id %llu, not to the one in the "
+              "settings\n",
+              path, (unsigned long long)f.control_id);
     rc = PW_E_SETTINGS;
   }
   free(data);
@@ -168,7 +181,7 @@
     if (pwstore_record(data, n, &at, &payload, &len) == 1)
       st->snapshot = pw__snapshot__unpack(NULL, len, payload);
     if (!st->snapshot) {
-      pwbuf_fmt(err, "%s: damaged\n", path);
+      pwbuf_fmt(err, "%s: damaged: no complete snapshot record\n", path);
       rc = PW_E_CORRUPT;
     }
   }
@@ -176,7 +189,8 @@
   return rc;
 }
 
-/* Adds an entry read from the log; an index met again replaces the tail. */
+/* Adds an entry that was read from the log. An index that occurred before
+** replaces that entry and removes those after it. */
 static pw_code take_entry(pw_store_state *st, Pw__Entry *e, size_t *cap) {
   uint64_t base = st->snapshot->index;
   if (e->index <= base)
@@ -195,7 +209,7 @@
   }
   Pw__Entry *copy = pw_alloc(sizeof *copy);
   *copy = *e;
-  e->data.data = NULL; /* the bytes move to the copy */
+  e->data.data = NULL; /* owned by the copy now */
   e->data.len = 0;
   st->entries[st->nentries++] = copy;
   return PW_OK;
@@ -215,7 +229,7 @@
   return rc;
 }
 
-/* Reads a segment; *good is where its last whole record ends. */
+/* Reads a segment. *good becomes the end of its last complete record. */
 static pw_code read_segment(pw_store *s, const char *path, pw_store_state *st,
                             size_t *good, pw_buf *err) {
   size_t n;
@@ -237,7 +251,8 @@
     rc = take_batch(st, payload, len, &cap);
   }
   if (rc == PW_OK && got == -2) {
-    pwbuf_fmt(err, "%s: damaged at byte %zu, with more behind it\n", path, at);
+    pwbuf_fmt(err, "%s: damaged at byte %zu, and more data follows\n", path,
+              at);
     rc = PW_E_CORRUPT;
   }
   free(data);
@@ -263,7 +278,8 @@
     closedir(d);
 }
 
-/* Opens a segment to append at byte `size`, cutting off a torn tail. */
+/* Opens a segment for appending at byte `size` and cuts off what follows, a torn
+** record or reserved space. */
 static pw_code open_segment(pw_store *s, uint64_t base, uint64_t size) {
   char path[PATH_BYTES];
   segment_path(s, base, path);
@@ -283,8 +299,8 @@
   return PW_OK;
 }
 
-/* Only the segment that follows the snapshot counts: others are left from a
-** snapshot that was not finished, or not cleaned up after. */
+/* Reads the segment that belongs to the snapshot and removes all others, which
+** were left by a crash while a snapshot was written or old segments removed. */
 static pw_code read_log(pw_store *s, pw_store_state *st, pw_buf *err) {
   char path[PATH_BYTES];
   size_t good = 0;
@@ -298,8 +314,9 @@
   return rc;
 }
 
-pw_code pwstore_open(const char *dir, uint32_t slot, const pw_file_ops *ops,
-                     pw_store **out, pw_store_state *st, pw_buf *err) {
+pw_code pwstore_open(const char *dir, uint32_t control_id,
+                     const pw_file_ops *ops, pw_store **out, pw_store_state *st,
+                     pw_buf *err) {
   *st = (pw_store_state){0};
   pw_store *s = pw_alloc(sizeof *s);
   s->fd = -1;
@@ -311,7 +328,7 @@
     rc = PW_E_IO;
   }
   if (rc == PW_OK)
-    rc = read_identity(s, slot, err);
+    rc = read_identity(s, control_id, err);
   if (rc == PW_OK)
     rc = read_snapshot(s, st, err);
   if (rc == PW_OK && st->snapshot)
@@ -343,7 +360,7 @@
   free(s);
 }
 
-/* Appends a record (header and payload) to out. */
+/* Appends a record, header and payload, to a buffer. */
 static void frame(pw_buf *out, const uint8_t *payload, size_t len) {
   record_header h = {(uint32_t)len, 0, XXH3_64bits(payload, len)};
   pwbuf_add(out, &h, sizeof h);
@@ -364,21 +381,22 @@
   free(bytes);
 }
 
-/* A snapshot is packed twice, in pieces: into its checksum, then into the file.
-** In one piece it would take its own size in memory again. */
+/* Receives a packed snapshot in pieces. A snapshot is packed twice, first into its
+** checksum and then into the file, because a packed copy in memory would take
+** as much memory again as the snapshot. */
 typedef struct snapshot_sink {
-  ProtobufCBuffer base; /* first, so that append can be given the sink */
-  XXH3_state_t *sum;    /* NULL: into the file */
+  ProtobufCBuffer base; /* must be first: append casts it to the sink */
+  XXH3_state_t *sum;    /* NULL: write to the file */
   const pw_file_ops *ops;
   int fd;
   int rc;
   size_t n;
-  uint8_t held[SINK_BYTES];
+  uint8_t buffered[SINK_BYTES];
 } snapshot_sink;
 
 static void flush_sink(snapshot_sink *k) {
   if (k->rc == 0)
-    k->rc = pwfile_write_all(k->ops, k->fd, k->held, k->n);
+    k->rc = pwfile_write_all(k->ops, k->fd, k->buffered, k->n);
   k->n = 0;
 }
 
@@ -389,16 +407,17 @@
     XXH3_64bits_update(k->sum, data, len);
     return;
   }
-  if (k->n + len > sizeof k->held)
+  if (k->n + len > sizeof k->buffered)
     flush_sink(k);
-  if (len <= sizeof k->held) {
-    memcpy(k->held + k->n, data, len);
+  if (len <= sizeof k->buffered) {
+    memcpy(k->buffered + k->n, data, len);
     k->n += len;
   } else if (k->rc == 0) {
     k->rc = pwfile_write_all(k->ops, k->fd, data, len);
   }
 }
 
+/* Argument of fill_snapshot. */
 typedef struct snapshot_fill {
   file_header head;
   const Pw__Snapshot *snapshot;
@@ -435,8 +454,8 @@
   return rc == 0 ? PW_OK : io_code();
 }
 
-/* The new segment is whole on disk before the snapshot names its start, and
-** the old ones go last: a crash between any two steps loses nothing. */
+/* The new segment is complete on disk before the snapshot that refers to it, and
+** old segments are removed last, so a crash between two steps loses nothing. */
 pw_code pwstore_snapshot(pw_store *s, const Pw__Snapshot *snapshot,
                          uint64_t term, uint64_t vote, Pw__Entry **entries,
                          size_t n) {
@@ -460,8 +479,8 @@
   return code;
 }
 
-/* Takes back what a write that failed has left: -1 when that fails too. */
-static int take_back(pw_store *s) {
+/* Removes what a failed write left in the segment. -1 when that fails too. */
+static int undo_write(pw_store *s) {
   s->reserved = s->size;
   if (ftruncate(s->fd, (off_t)s->size) != 0)
     return -1;
@@ -475,10 +494,10 @@
   frame_batch(&out, term, vote, entries, n);
   if (pwfile_write_all(s->ops, s->fd, out.data, out.len) != 0) {
     code = io_code();
-    if (code == PW_E_DISK_FULL && take_back(s) != 0)
+    if (code == PW_E_DISK_FULL && undo_write(s) != 0)
       code = PW_E_IO;
   } else if (s->ops->sync(s->ops->arg, s->fd) != 0) {
-    code = PW_E_IO; /* what is on the disk is not known */
+    code = PW_E_IO; /* it is not known what is on the disk */
   } else {
     s->size += out.len;
     s->syncs++;
@@ -491,7 +510,7 @@
   uint64_t need = s->size + bytes;
   if (need <= s->reserved)
     return PW_OK;
-  uint64_t upto = (need / CHUNK + 1) * CHUNK;
+  uint64_t upto = (need / RESERVE_STEP + 1) * RESERVE_STEP;
   if (s->ops->reserve(s->ops->arg, s->fd, (int64_t)s->reserved,
                       (int64_t)(upto - s->reserved)) != 0)
     return PW_E_DISK_FULL;
