--- a/packages/daemon/peatwelld.c
+++ b/packages/daemon/peatwelld.c
@@ -1,4 +1,5 @@
-/* peatwelld.c: the daemon's main program: settings, signals, roles. */
+/* peatwelld.c: main program of the daemon: reads the settings, runs a thread for
+** each role, and handles signals. */
 #define _GNU_SOURCE
 #include "platform.h"
 #include "pwagent.h"
@@ -20,7 +21,7 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Exit codes; see peatwelld(8). */
+/* Exit codes, documented in peatwelld(8). */
 enum {
   EXIT_DONE = 0,
   EXIT_FAILED = 1,
@@ -30,6 +31,7 @@
 
 typedef pw_code (*role_run)(pw_proc *p, pw_buf *err);
 
+/* A role of the process and the thread that runs it. */
 typedef struct role {
   const char *name;
   role_run run;
@@ -55,9 +57,10 @@
   return NULL;
 }
 
-/* A SIGTERM or SIGINT stops, a second one hurries; SIGUSR1 says that a role
-** has ended, SIGHUP has certificates read anew. A role that fails takes the
-** others with it. */
+/* Waits until all roles have ended. The first SIGTERM or SIGINT stops the roles,
+** which finish requests in flight; the second one stops them without waiting.
+** SIGHUP reloads the certificates. run_role sends SIGUSR1 when a role has
+** ended, and then the other roles are stopped too. */
 static void wait_for_roles(role *roles, int n, const sigset_t *signals) {
   int level = 0;
   for (;;) {
@@ -130,10 +133,10 @@
     pwbuf_fmt(out, "%s%s", i ? "," : "", set->roles.item[i]);
 }
 
-static int with_settings(const char *path, int check) {
+static int run_with_settings(const char *path, int check) {
   pw_settings set;
   pw_buf err = {0};
-  pw_buf names = {0};
+  pw_buf role_list = {0};
   int code = EXIT_BAD_SETTINGS;
   if (pwset_read(&set, path, &err) != PW_OK) {
     fputs(err.data, stderr);
@@ -141,10 +144,10 @@
     printf("%s: ok\n", path);
     code = EXIT_DONE;
   } else {
-    join_roles(&set, &names);
-    code = run(&set, names.data);
+    join_roles(&set, &role_list);
+    code = run(&set, role_list.data);
   }
-  pwbuf_free(&names);
+  pwbuf_free(&role_list);
   pwbuf_free(&err);
   pwset_free(&set);
   return code;
@@ -162,9 +165,9 @@
   struct arg_file *config =
       arg_file0("c", "config", "FILE", "settings file (TOML)");
   struct arg_lit *check =
-      arg_lit0(NULL, "check", "only check the settings file");
-  struct arg_lit *settings =
-      arg_lit0(NULL, "settings", "print every setting as Markdown");
+      arg_lit0(NULL, "check", "check the settings file and exit");
+  struct arg_lit *settings = arg_lit0(
+      NULL, "settings", "print the reference of all settings as Markdown");
   struct arg_lit *version = arg_lit0(NULL, "version", "print the version");
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_end *end = arg_end(8);
@@ -187,7 +190,7 @@
     arg_print_errors(stderr, end, "peatwelld");
     fputs("peatwelld: --config FILE is needed; see --help\n", stderr);
   } else {
-    code = with_settings(config->filename[0], check->count);
+    code = run_with_settings(config->filename[0], check->count);
   }
   arg_freetable(table, sizeof table / sizeof table[0]);
   return code;
--- a/packages/daemon/pwassign.c
+++ b/packages/daemon/pwassign.c
@@ -1,4 +1,4 @@
-/* pwassign.c: the resources that the control leader writes. */
+/* pwassign.c: reads and writes assignments and rollouts. */
 #include "pwassign.h"
 
 #include "pwbuf.h"
--- a/packages/daemon/pwfeed.c
+++ b/packages/daemon/pwfeed.c
@@ -7,8 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RESEND_MS 1000    /* a delta not taken in by then is sent again */
-#define WELCOME_BYTES 200 /* of one Hello and its Welcome, about */
+#define RESEND_MS 1000    /* a delta not confirmed by then is sent again */
+#define WELCOME_BYTES 200 /* approximate size of a Hello and its Welcome */
 
 struct pw_feed {
   pw_proc *p;
@@ -49,37 +49,37 @@
   return c;
 }
 
-/* Agents act on their own target, its assignment and the policy, and are
-** sent nothing else: what a workspace may do comes with each Run. */
-static int is_wanted(const pw_child *c, const pw_resource *one) {
+/* Whether a resource concerns a child. Agents need only their own target, its
+** assignment and the policies; the rights of a workspace come with each Run. */
+static int concerns_child(const pw_child *c, const pw_resource *one) {
   if (strcmp(c->role, "agent") != 0 || !strcmp(one->kind, "policy"))
     return 1;
-  int about_target =
+  int is_target_kind =
       !strcmp(one->kind, "target") || !strcmp(one->kind, "assignment");
-  return about_target && !strcmp(one->name, c->target);
+  return is_target_kind && !strcmp(one->name, c->target);
 }
 
-/* Whether anything newer than `since` concerns a child. */
-static int has_news(const pw_feed *f, const pw_child *c, uint64_t since) {
+/* Whether a change newer than `since` concerns a child. */
+static int lacks_changes(const pw_feed *f, const pw_child *c, uint64_t since) {
   if (since < pwres_floor(f->res))
     return 1;
   for (const pw_resource *one = pwres_after(f->res, since); one;
        one = one->next)
-    if (is_wanted(c, one))
+    if (concerns_child(c, one))
       return 1;
   return 0;
 }
 
-/* The revision a child holds or has been sent. */
-static uint64_t known_to(const pw_child *c) {
+/* The newest revision that a child has or that was sent to it. */
+static uint64_t known_revision(const pw_child *c) {
   return c->sent > c->revision ? c->sent : c->revision;
 }
 
 static void fill_resources(const pw_feed *f, const pw_child *c,
                            Pw__Welcome *w) {
-  uint64_t since = known_to(c);
+  uint64_t since = known_revision(c);
   if (since > pwres_revision(f->res))
-    since = pwres_revision(f->res); /* the child is ahead: nothing to send */
+    since = pwres_revision(f->res); /* the child is newer: nothing to send */
   w->full = since < pwres_floor(f->res);
   if (w->full)
     since = 0;
@@ -90,15 +90,16 @@
     n++;
   w->resources = pw_alloc(sizeof *w->resources * (n + 1));
   for (const pw_resource *one = first; one; one = one->next)
-    if (is_wanted(c, one))
+    if (concerns_child(c, one))
       w->resources[w->n_resources++] = pwres_pack(one);
 }
 
-/* How often a child is to say Hello so that all fit the byte budget. */
+/* The interval of Hellos, in ms, at which all children together stay within
+** PW_FEED_BYTES_PER_S. */
 static uint32_t hello_interval(const pw_feed *f) {
   uint32_t ms = (uint32_t)(f->n * WELCOME_BYTES * 1000 / PW_FEED_BYTES_PER_S);
   if (ms > PW_HELLO_MAX_MS)
-    return PW_HELLO_MAX_MS; /* more children than the budget: add a level */
+    return PW_HELLO_MAX_MS; /* over budget: the tree needs another level */
   return ms < PW_HELLO_MS ? PW_HELLO_MS : ms;
 }
 
@@ -162,7 +163,7 @@
 void pwfeed_push(pw_feed *f, const pw_feed_state *st, int64_t now) {
   uint64_t revision = pwres_revision(f->res);
   for (pw_child *c = f->children; c; c = c->next)
-    if (known_to(c) < revision && has_news(f, c, known_to(c)))
+    if (known_revision(c) < revision && lacks_changes(f, c, known_revision(c)))
       send_welcome(f, c, st, NULL, 0, now);
 }
 
@@ -214,8 +215,8 @@
     out->count += c->below;
     out->entries += c->entries;
     if (c->below_revision >= out->revision ||
-        !has_news(f, c, c->below_revision))
-      continue; /* what it lacks does not concern it */
+        !lacks_changes(f, c, c->below_revision))
+      continue; /* no change that it lacks concerns it */
     out->revision = c->below_revision;
     pw_copy(out->behind, sizeof out->behind,
             c->behind[0] ? c->behind : c->name);
--- a/packages/daemon/pwfeed.h
+++ b/packages/daemon/pwfeed.h
@@ -1,83 +1,89 @@
 /* pwfeed.h: the parent's side of the distribution tree.
 **
-** Control serves entries, an entry serves its agents. A child says Hello with
-** the revision it holds; the parent answers Welcome with what it lacks, and
-** sends one unasked when something new is in force. */
+** Control instances are parents of entries, and an entry is the parent of its
+** agents. A child sends a Hello with its revision of the resources. The parent
+** answers with a Welcome that has the changes since, and also sends a Welcome on
+** its own when resources change. */
 #ifndef PWFEED_H
 #define PWFEED_H
 
 #include "pwproc.h"
 #include "pwres.h"
 
-/* A child, as its last Hello told. */
+/* A child, by its last Hello. */
 typedef struct pw_child {
   pw_peer peer;
   char name[PW_NAME_MAX];
   char role[16];
   char availability_zone[PW_NAME_MAX];
   char http[PW_NAME_MAX];
-  char target[PW_NAME_MAX]; /* that an agent stands before */
-  char behind[PW_NAME_MAX]; /* who below it has the lowest revision */
+  char target[PW_NAME_MAX]; /* the target of an agent; else "" */
+  char behind[PW_NAME_MAX]; /* process below it with the lowest revision */
   uint64_t incarnation;
-  uint64_t revision; /* it holds */
-  uint64_t sent;     /* it was sent */
-  int64_t sent_at;
-  uint64_t below_revision; /* lowest in force below, itself included */
-  uint32_t below;
-  uint32_t entries;
-  int64_t clock; /* its clock, to be echoed */
-  int64_t heard;
-  int stopping;
+  uint64_t revision;       /* of its resources */
+  uint64_t sent;           /* revision last sent to it */
+  int64_t sent_at;         /* when that was sent, ms */
+  uint64_t below_revision; /* lowest in force at it and the processes below */
+  uint32_t below;          /* number of these processes */
+  uint32_t entries;        /* entries among them */
+  int64_t clock;           /* its clock, which the Welcome returns to it */
+  int64_t heard;           /* time of its last Hello, ms */
+  int stopping;            /* it is about to end */
   struct pw_child *next;
 } pw_child;
 
-/* What the parent tells all children. */
+/* What a Welcome tells every child about the control group. */
 typedef struct pw_feed_state {
-  int leader;        /* this is the leader, under a lease */
-  int64_t touch_age; /* ms since surely in touch with a leader; <0: never */
+  int leader;        /* the parent is the leader and holds the lease */
+  int64_t touch_age; /* ms since the last certain contact with a leader; <0:
+                     ** there was none */
   const char *leader_wire;
   const char *leader_http;
   uint64_t term;
   uint32_t entries;
-  uint64_t group; /* number of the control group; 0: not known yet */
+  uint64_t group; /* id of the control group; 0: not known yet */
 } pw_feed_state;
 
 typedef struct pw_feed pw_feed;
 
-/* Serves `res` through `sock`; children of role agent are sent only what
-** agents need, and are in force up to the first change that concerns them. */
+/* Serves the resources `res` through `sock`. Agents get only the resources that
+** they need. They count as up to date until a change concerns them. */
 pw_feed *pwfeed_new(pw_proc *p, pw_sock *sock, const pw_res *res);
 void pwfeed_free(pw_feed *f);
 
-/* A Hello arrived: answers it. pools may be NULL. */
+/* Handles a child's Hello and answers it with a Welcome. `pools` may be NULL. */
 void pwfeed_hello(pw_feed *f, const pw_peer *from, const Pw__Envelope *e,
                   const pw_feed_state *st, Pw__PoolLoad **pools, size_t npools,
                   int64_t now);
 
-/* Something changed: children that lack it are sent it. */
+/* Sends a Welcome to each child that lacks a change which concerns it. */
 void pwfeed_push(pw_feed *f, const pw_feed_state *st, int64_t now);
 
-/* Drops children that have gone silent, each told of before. */
-/* This process could hear nobody for `ms`: no silence of children. */
+/* Discounts a stall of this process of `ms`: it could receive nothing, so this
+** time does not count as the children's silence. */
 void pwfeed_excuse(pw_feed *f, int64_t ms);
 
+/* Drops children that have been silent for PW_CHILD_KEEP, and stopping ones after
+** PW_PARENT_LOST. Calls `left` for each before it is freed. */
 void pwfeed_expire(pw_feed *f, void (*left)(void *arg, const pw_child *c),
                    void *arg, int64_t now);
 
-/* First child; follow ->next. */
+/* The first child; follow ->next for the others. */
 const pw_child *pwfeed_children(const pw_feed *f);
 
-/* Sums up those below: count, lowest revision in force, and who has it. */
+/* Summary of this process and all processes below it. */
 typedef struct pw_feed_sum {
-  uint32_t count;
-  uint32_t entries;
-  uint64_t revision;
-  char behind[PW_NAME_MAX];
+  uint32_t count;           /* processes, this one included */
+  uint32_t entries;         /* entries below */
+  uint64_t revision;        /* lowest in force */
+  char behind[PW_NAME_MAX]; /* name of a process that has it */
 } pw_feed_sum;
 
-/* The children as a JSON list of {name, role, http, ...}; new reference. */
+/* Returns the children as a JSON list of {name, role, http, ...}, as a new
+** reference. */
 json_t *pwfeed_json(const pw_feed *f, int64_t now);
 
+/* Sums up the children. `own_revision` is the revision of this process. */
 void pwfeed_sum(const pw_feed *f, uint64_t own_revision, pw_feed_sum *out);
 
 #endif
--- a/packages/daemon/pwnews.c
+++ b/packages/daemon/pwnews.c
@@ -1,5 +1,5 @@
-/* pwnews.c: what a process tells its parent of the targets and versions below.
- */
+/* pwnews.c: the report of a process to its parent in the distribution tree: states
+** of targets, and counts of attempts for each version. */
 #include "pwnews.h"
 
 #include "pwbuf.h"
@@ -11,18 +11,20 @@
 #include <uthash.h>
 
 #define STATES_PER_HELLO 24
-#define POOLS_MAX 64   /* versions counted; the longest unused makes room */
-#define BASES_MAX 4096 /* children times versions whose counts are known */
+#define POOLS_MAX 64   /* versions that are counted; the oldest is evicted */
+#define BASES_MAX 4096 /* pairs of child and version; the oldest is evicted */
 
+/* The newest known state of a target. */
 typedef struct state_row {
   char target[PW_NAME_MAX];
   Pw__TargetState *state;
-  char from[PW_NAME_MAX]; /* the child that told it; "": none */
-  int64_t at;             /* the state was read then or later */
-  int64_t changed;        /* when it came or changed here */
+  char from[PW_NAME_MAX]; /* the child that sent it; "": none */
+  int64_t at;             /* the state is at least as new as this, ms */
+  int64_t changed;        /* when it was added or changed here, ms */
   UT_hash_handle hh;
 } state_row;
 
+/* Attempts of a pool, counted here and at the processes below. */
 typedef struct count_row {
   char pool[PW_NAME_MAX * 2];
   uint64_t done, failed;
@@ -30,7 +32,7 @@
   UT_hash_handle hh;
 } count_row;
 
-/* Counts of one child and pool as last told. */
+/* Counts of a pool in a child's last Hello. */
 typedef struct base_row {
   char key[PW_NAME_MAX * 3]; /* "CHILD POOL" */
   uint64_t incarnation, done, failed;
@@ -91,17 +93,18 @@
   return 1;
 }
 
-/* Whether it is older than what is known. What the same child tells comes in order. What another
-** tells is judged by its age, to which the time is not added that it waited here to be read: of two
-** Hellos that waited while a control instance stood still for 0.4 s, the second looked older by 3 ms,
-** was dropped, and nobody told it again. */
+/* Whether a state of time `at` is older than the known one. Only states from
+** different children are compared by age; those from one child arrive in order.
+** An age omits the time for which a Hello waited here to be read: compared by age,
+** the second of two Hellos that waited while a control instance stalled for 0.4 s
+** would look older by 3 ms and be dropped, although its state is sent only once. */
 static int is_older(const state_row *r, const char *from, int64_t at) {
   return strcmp(r->from, from) != 0 && at < r->at;
 }
 
-/* Takes a state over if it is newer than what is known. */
-static void note_state(pw_news *n, const Pw__TargetState *s, const char *from,
-                       int64_t at, int64_t now) {
+/* Stores a state unless a newer one is known. */
+static void store_state(pw_news *n, const Pw__TargetState *s, const char *from,
+                        int64_t at, int64_t now) {
   state_row *r;
   HASH_FIND_STR(n->states, s->target, r);
   if (r && is_older(r, from, at))
@@ -128,7 +131,7 @@
   Pw__TargetState gone = PW__TARGET_STATE__INIT;
   gone.target = (char *)c->target;
   gone.gone = 1;
-  note_state(n, &gone, "", c->heard, now);
+  store_state(n, &gone, "", c->heard, now);
 }
 
 const Pw__TargetState *pwnews_target(const pw_news *n, const char *target) {
@@ -141,7 +144,7 @@
   return n->changes;
 }
 
-/* --- counts --- */
+/* --- counts of attempts --- */
 
 static count_row *count_of(pw_news *n, const char *pool) {
   count_row *c;
@@ -159,8 +162,8 @@
   return c;
 }
 
-static void add(pw_news *n, const char *pool, uint64_t done, uint64_t failed,
-                int64_t now) {
+static void add_attempts(pw_news *n, const char *pool, uint64_t done,
+                         uint64_t failed, int64_t now) {
   if (!done && !failed)
     return;
   count_row *c = count_of(n, pool);
@@ -170,7 +173,7 @@
 }
 
 void pwnews_count(pw_news *n, const char *pool, int failed) {
-  add(n, pool, !failed, !!failed, pwclock_ms());
+  add_attempts(n, pool, !failed, !!failed, pwclock_ms());
 }
 
 static base_row *base_of(pw_news *n, const char *child, const char *pool) {
@@ -191,20 +194,21 @@
   return b;
 }
 
-/* Whether this life of the child was heard before. */
-static int is_known(pw_news *n, const Pw__Envelope *e) {
+/* Whether this incarnation of the child has sent a Hello before. */
+static int is_known_child(pw_news *n, const Pw__Envelope *e) {
   base_row *b = base_of(n, e->from, "");
   int known = b->incarnation == e->incarnation;
   b->incarnation = e->incarnation;
   return known;
 }
 
-/* What a child told before this process knew it is no news. */
-static void note_count(pw_news *n, const Pw__Envelope *e,
-                       const Pw__VersionCount *v, int known, int64_t now) {
+/* Adds what a child's count has risen since its last Hello. The first Hello of an
+** incarnation only sets the base: earlier attempts are not counted again. */
+static void add_count(pw_news *n, const Pw__Envelope *e,
+                      const Pw__VersionCount *v, int known, int64_t now) {
   base_row *b = base_of(n, e->from, v->pool);
   if (known && v->done >= b->done && v->failed >= b->failed)
-    add(n, v->pool, v->done - b->done, v->failed - b->failed, now);
+    add_attempts(n, v->pool, v->done - b->done, v->failed - b->failed, now);
   b->done = v->done;
   b->failed = v->failed;
 }
@@ -222,20 +226,20 @@
 void pwnews_hello(pw_news *n, const Pw__Envelope *e, int64_t now) {
   const Pw__Hello *h = e->hello;
   for (size_t i = 0; i < h->n_states; i++)
-    note_state(n, h->states[i], e->from, now - h->states[i]->age, now);
-  int known = is_known(n, e);
+    store_state(n, h->states[i], e->from, now - h->states[i]->age, now);
+  int known = is_known_child(n, e);
   for (size_t i = 0; i < h->n_counts; i++)
-    note_count(n, e, h->counts[i], known, now);
+    add_count(n, e, h->counts[i], known, now);
 }
 
-static void fill_states(pw_news *n, Pw__Hello *h, int64_t told_at,
+static void fill_states(pw_news *n, Pw__Hello *h, int64_t confirmed_at,
                         int64_t now) {
   h->states = pw_alloc(sizeof *h->states * STATES_PER_HELLO);
   for (state_row *r = n->states; r; r = r->hh.next) {
-    if (r->changed < told_at)
+    if (r->changed < confirmed_at)
       continue;
     if (h->n_states == STATES_PER_HELLO) {
-      r->changed = now; /* it goes with the next one */
+      r->changed = now; /* left for the next Hello */
       continue;
     }
     r->state->age = (uint32_t)(now - r->at);
@@ -243,10 +247,10 @@
   }
 }
 
-static void fill_counts(pw_news *n, Pw__Hello *h, int64_t told_at) {
+static void fill_counts(pw_news *n, Pw__Hello *h, int64_t confirmed_at) {
   h->counts = pw_alloc(sizeof *h->counts * POOLS_MAX);
   for (count_row *c = n->counts; c; c = c->hh.next) {
-    if (c->changed < told_at)
+    if (c->changed < confirmed_at)
       continue;
     Pw__VersionCount *v = pw_alloc(sizeof *v);
     pw__version_count__init(v);
@@ -257,9 +261,9 @@
   }
 }
 
-void pwnews_fill(pw_news *n, Pw__Hello *h, int64_t told_at, int64_t now) {
-  fill_states(n, h, told_at, now);
-  fill_counts(n, h, told_at);
+void pwnews_fill(pw_news *n, Pw__Hello *h, int64_t confirmed_at, int64_t now) {
+  fill_states(n, h, confirmed_at, now);
+  fill_counts(n, h, confirmed_at);
 }
 
 void pwnews_clear(Pw__Hello *h) {
--- a/packages/daemon/pwnews.h
+++ b/packages/daemon/pwnews.h
@@ -1,8 +1,9 @@
-/* pwnews.h: what a process tells its parent of the targets and versions below.
+/* pwnews.h: the report of a process to its parent in the distribution tree.
 **
-** Targets' states are sent when they changed, counts of versions count up; both
-** are sent again until the parent has answered a Hello that held them. A parent
-** that is new, or a new leader, is told everything. */
+** It has the states of targets below the process, sent when they change, and
+** counts of attempts for each version of a model, which only rise. Both are sent
+** again until the parent has answered a Hello that contained them. A new parent
+** or leader gets everything. */
 #ifndef PWNEWS_H
 #define PWNEWS_H
 
@@ -14,28 +15,29 @@
 pw_news *pwnews_new(void);
 void pwnews_free(pw_news *n);
 
-/* A child's Hello arrived. */
+/* Takes states and counts from a child's Hello. */
 void pwnews_hello(pw_news *n, const Pw__Envelope *e, int64_t now);
 
-/* An agent is not heard any more. */
+/* A child was dropped: if it is an agent, its target is reported as gone. */
 void pwnews_child_left(pw_news *n, const pw_child *c, int64_t now);
 
-/* Attempts of this process's own that ended. */
+/* Counts an attempt of this process that ended. */
 void pwnews_count(pw_news *n, const char *pool, int failed);
 
-/* Puts what the parent does not know into a Hello; freed by pwnews_clear after
-** it was sent. */
-void pwnews_fill(pw_news *n, Pw__Hello *h, int64_t told_at, int64_t now);
+/* Adds to a Hello what changed since `confirmed_at`, the time of the newest Hello
+** that the parent answered (pwsub_told_at). After the Hello was sent,
+** pwnews_clear frees what was added. */
+void pwnews_fill(pw_news *n, Pw__Hello *h, int64_t confirmed_at, int64_t now);
 void pwnews_clear(Pw__Hello *h);
 
-/* Sums of a pool's attempts, for the leader. */
+/* Returns the sums of a pool's attempts, done and failed, for the leader. */
 void pwnews_sum(const pw_news *n, const char *pool, double *done,
                 double *failed);
 
-/* A target as the newest report has it, or NULL. Borrowed. */
+/* The newest state of a target, or NULL. It belongs to the report. */
 const Pw__TargetState *pwnews_target(const pw_news *n, const char *target);
 
-/* Counts up with every change of a target's state. */
+/* A number that rises with each change of a target's state. */
 uint64_t pwnews_changes(const pw_news *n);
 
 #endif
--- a/packages/daemon/pwproc.c
+++ b/packages/daemon/pwproc.c
@@ -1,4 +1,4 @@
-/* pwproc.c: what every role of a process shares. */
+/* pwproc.c: state and HTTP answers that all roles of a process have in common. */
 #include "pwproc.h"
 
 #include "pwlog.h"
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* Of the listener for metrics alone. */
+/* Limits of the listener at instance.metrics. */
 #define METRICS_CONNECTIONS 64
 #define METRICS_IDLE_S 60
 #define METRICS_BODY 4096 /* bytes */
@@ -72,8 +72,8 @@
   return 1;
 }
 
-static void on_metrics(void *arg, pw_http *h, int again) {
-  (void)again; /* none waits */
+static void handle_metrics(void *arg, pw_http *h, int again) {
+  (void)again; /* no request is answered later */
   if (!pwproc_handle(arg, h))
     pwproc_refuse(h, PW_E_PATH, "", "not-run", 0);
 }
@@ -85,7 +85,7 @@
                           .max_connections = METRICS_CONNECTIONS,
                           .idle_timeout = METRICS_IDLE_S,
                           .arg = p,
-                          .handle = on_metrics};
+                          .handle = handle_metrics};
   *out = NULL;
   if (!p->set->metrics[0])
     return 0;
--- a/packages/daemon/pwproc.h
+++ b/packages/daemon/pwproc.h
@@ -1,4 +1,4 @@
-/* pwproc.h: what every role of a process shares. */
+/* pwproc.h: state and HTTP answers that all roles of a process have in common. */
 #ifndef PWPROC_H
 #define PWPROC_H
 
@@ -12,6 +12,7 @@
 
 #include <stdatomic.h>
 
+/* The state of one role. */
 typedef struct pw_proc {
   const pw_settings *set;
   pw_counters *counters;
@@ -19,37 +20,38 @@
   pw_hlc hlc;
   pw_wire *wire;
   const char *role;
-  const pw_dialect *dialect; /* how the platform speaks; NULL: no platform */
-  atomic_int stopping;       /* 1: finish what is in progress; 2: hurry */
-  atomic_int renew;          /* certificates are to be read anew */
+  const pw_dialect *dialect; /* of the platform's messages; NULL: none */
+  atomic_int stopping;       /* 1: finish requests in flight; 2: stop at once */
+  atomic_int renew;          /* 1: the certificates must be reloaded */
   atomic_int ready;
 } pw_proc;
 
-/* Prepares the shared parts; reasons go to err. */
+/* Creates counters, events, clock and wire. Reasons of failures go to err. */
 pw_code pwproc_init(pw_proc *p, const pw_settings *set, const char *role,
                     pw_buf *err);
 void pwproc_free(pw_proc *p);
 
-/* Answers /health/live, /health/ready, /metrics and /v1/events; 0 when the
-** path is none of these. */
+/* Answers requests for /health/live, /health/ready, /metrics and /v1/events.
+** Returns 0 without an answer when the path is another. */
 int pwproc_handle(pw_proc *p, pw_http *h);
 
-/* Serves the same at instance.metrics, if that is set, until pwserve_stop; *out is
-** NULL when it is not. 0, or -1 with a reason in err. */
+/* Serves the paths of pwproc_handle at the address instance.metrics until
+** pwserve_stop. *out is NULL when no address is set. Returns 0, or -1 with a
+** reason in err. */
 int pwproc_serve_metrics(pw_proc *p, pw_server **out, pw_buf *err);
 
-/* Answers with a code's JSON error body. outcome is "not-run", "unknown" or
-** "done"; retry_ms, when not 0, becomes Retry-After. */
+/* Answers with a code's HTTP status and JSON error body. `outcome` is "not-run",
+** "unknown" or "done". A `retry_ms` other than 0 sets Retry-After. */
 void pwproc_refuse(pw_http *h, pw_code code, const char *message,
                    const char *outcome, uint32_t retry_ms);
 
-/* Answers 200 with a JSON value, whose reference it takes over. */
+/* Answers with a JSON value and releases the caller's reference to it. */
 void pwproc_json(pw_http *h, int status, json_t *value);
 
-/* The bearer key of a request, or "". */
+/* Returns the bearer key of a request, or "". */
 const char *pwproc_bearer(pw_http *h);
 
-/* Notes a change of being ready; logs it once. */
+/* Sets whether the role is ready, and logs each change. */
 void pwproc_set_ready(pw_proc *p, int ready);
 
 #endif
--- a/packages/daemon/pwsub.c
+++ b/packages/daemon/pwsub.c
@@ -22,32 +22,33 @@
   pw_res *res;
   parent parents[PW_LIST_MAX];
   int n;
-  int at; /* current parent */
+  int at; /* index of the current parent */
   int follow_leader;
-  int64_t stale;
+  int64_t stale; /* ms without contact after which this process is cut off */
   int serve_cut_off;
 
-  int64_t hello_at; /* when the last Hello went out */
-  int64_t interval;
-  int64_t welcomed; /* when the parent last answered */
-  int64_t since;    /* when this parent was chosen */
-  int64_t asked_at;
-  int64_t told_at;
-  int64_t told_since; /* when parent or leader last changed */
-  uint64_t parent_life;
-  int64_t touch_at; /* surely in touch with a leader then */
-  int in_touch;
-  int caught_up;
+  int64_t hello_at;     /* when the last Hello was sent */
+  int64_t interval;     /* of Hellos, ms */
+  int64_t welcomed;     /* when the parent last answered */
+  int64_t since;        /* when this parent was chosen */
+  int64_t as_of;        /* see pwsub_asked_at */
+  int64_t confirmed_at; /* see pwsub_told_at */
+  int64_t same_since;   /* when parent or leader last changed */
+  uint64_t parent_incarnation;
+  int64_t contact_at; /* time of the last certain contact with a leader */
+  int has_contact;    /* that time is not longer ago than `stale` */
+  int caught_up;      /* has had the complete configuration once */
   uint64_t term;
-  uint64_t group; /* the first one met; no other is heard in this life */
-  int strange;    /* another was met, and told of */
+  uint64_t group; /* id of the first control group; others are ignored */
+  int logged_other_group; /* another group was seen and logged */
   uint32_t entries;
   char leader_wire[ADDR_MAX];
   char leader_http[ADDR_MAX];
-  parent leader; /* dialled for the ledger when it is not the parent */
+  parent leader; /* connection for claims when it is not the parent */
 };
 
-/* Children spread over parents by a hash of their own name. */
+/* The first parent to use. A hash of the child's name spreads children over the
+** parents. */
 static int first_parent(const pw_sub *s) {
   const char *name = s->p->set->name;
   return s->n ? (int)(XXH3_64bits(name, strlen(name)) % (uint64_t)s->n) : 0;
@@ -62,8 +63,8 @@
   s->follow_leader = follow_leader;
   s->stale = stale_ms;
   s->serve_cut_off = !strcmp(cut_off, "serve");
-  s->touch_at = INT64_MIN / 2;
-  s->told_at = INT64_MIN / 2;
+  s->contact_at = INT64_MIN / 2;
+  s->confirmed_at = INT64_MIN / 2;
   s->hello_at = INT64_MIN / 2;
   s->interval = PW_HELLO_MS;
   s->since = pwclock_ms();
@@ -130,8 +131,8 @@
 }
 
 void pwsub_hello(pw_sub *s, Pw__Hello *h, int64_t now) {
-  int64_t heard = s->welcomed > s->since ? s->welcomed : s->since;
-  if (now - heard > PW_PARENT_LOST + s->interval)
+  int64_t answered_at = s->welcomed > s->since ? s->welcomed : s->since;
+  if (now - answered_at > PW_PARENT_LOST + s->interval)
     move_to(s, (s->at + 1) % s->n, now);
   parent *to = &s->parents[s->at];
   if (!to->dialled)
@@ -143,7 +144,7 @@
   send_to_parent(s, &e);
 }
 
-static void follow(pw_sub *s, const char *leader_wire, int64_t now) {
+static void move_to_leader(pw_sub *s, const char *leader_wire, int64_t now) {
   if (!s->follow_leader || !leader_wire[0] ||
       !strcmp(leader_wire, s->parents[s->at].addr))
     return;
@@ -156,14 +157,14 @@
     move_to(s, at, now);
 }
 
-static void note_touch(pw_sub *s, const Pw__Welcome *w, int64_t now) {
+static void note_contact(pw_sub *s, const Pw__Welcome *w, int64_t now) {
   if (w->touch_age == UINT32_MAX || w->echo == 0)
     return;
   int64_t at = w->echo - (int64_t)w->touch_age;
-  if (at > s->touch_at)
-    s->touch_at = at;
-  if (!s->in_touch && now - s->touch_at <= s->stale) {
-    s->in_touch = 1;
+  if (at > s->contact_at)
+    s->contact_at = at;
+  if (!s->has_contact && now - s->contact_at <= s->stale) {
+    s->has_contact = 1;
     pwevent_add(s->p->events, PWE_IN_TOUCH, 0, NULL, NULL, NULL,
                 "parent=%s revision=%llu", s->parents[s->at].addr,
                 (unsigned long long)w->revision);
@@ -171,31 +172,34 @@
   }
 }
 
-/* Revisions of two groups cannot be compared: one that was founded anew is
-** taken up by a restart, which holds nothing of the old. */
+/* Whether a Welcome is from the control group that this process belongs to.
+** Revisions of different groups cannot be compared, so a process must restart,
+** without the old resources, to change to a group that was created anew. */
 static int is_own_group(pw_sub *s, uint64_t group) {
   if (!group || !s->group)
     s->group = group ? group : s->group;
   if (!group || s->group == group)
     return group != 0;
-  if (!s->strange)
-    pwlog(LOG_ERR, "another-group", "parent=%s; restart to follow it",
+  if (!s->logged_other_group)
+    pwlog(LOG_ERR, "another-group",
+          "parent=%s; restart this process to change to that group",
           s->parents[s->at].addr);
-  s->strange = 1;
+  s->logged_other_group = 1;
   return 0;
 }
 
-/* Answers to Hellos that were under way when the parent or the leader
-** changed say nothing: those left out what the one before had been told. */
-static void note_told(pw_sub *s, const Pw__Envelope *e, int64_t now) {
+/* Records which Hello the parent has answered. Answers to Hellos that were in
+** flight when the parent or the leader changed do not count: these Hellos
+** omitted what the previous parent or leader had confirmed. */
+static void note_confirmed(pw_sub *s, const Pw__Envelope *e, int64_t now) {
   const Pw__Welcome *w = e->welcome;
-  int same = s->parent_life == e->incarnation && s->term == w->term;
-  s->parent_life = e->incarnation;
+  int same = s->parent_incarnation == e->incarnation && s->term == w->term;
+  s->parent_incarnation = e->incarnation;
   if (!same) {
-    s->told_at = INT64_MIN / 2;
-    s->told_since = now;
-  } else if (w->echo > s->told_since && w->echo > s->told_at) {
-    s->told_at = w->echo;
+    s->confirmed_at = INT64_MIN / 2;
+    s->same_since = now;
+  } else if (w->echo > s->same_since && w->echo > s->confirmed_at) {
+    s->confirmed_at = w->echo;
   }
 }
 
@@ -206,14 +210,14 @@
     return 0;
   if (!is_own_group(s, w->group) || w->term < s->term)
     return 0;
-  note_told(s, e, now);
+  note_confirmed(s, e, now);
   s->term = w->term;
   s->welcomed = now;
   s->entries = w->entries;
   if (w->hello_ms)
     s->interval = w->hello_ms;
-  if (w->echo > s->asked_at)
-    s->asked_at = w->echo;
+  if (w->echo > s->as_of)
+    s->as_of = w->echo;
   pw_copy(s->leader_wire, sizeof s->leader_wire, w->leader_wire);
   pw_copy(s->leader_http, sizeof s->leader_http, w->leader_http);
   int merged = pwres_merge(s->res, w->full, w->since, w->revision, w->resources,
@@ -222,9 +226,9 @@
     pwsub_hurry(s);
   if (pwres_revision(s->res) >= w->revision) {
     s->caught_up |= w->touch_age != UINT32_MAX;
-    note_touch(s, w, now);
+    note_contact(s, w, now);
   }
-  follow(s, w->leader_wire, now);
+  move_to_leader(s, w->leader_wire, now);
   if (merged != 1)
     return 0;
   pwevent_add(s->p->events, PWE_REVISION, 0, NULL, NULL, NULL,
@@ -235,26 +239,26 @@
 }
 
 int64_t pwsub_touch_age(const pw_sub *s, int64_t now) {
-  return s->touch_at < 0 ? -1 : now - s->touch_at;
+  return s->contact_at < 0 ? -1 : now - s->contact_at;
 }
 
 int pwsub_may_serve(pw_sub *s, int64_t now) {
-  if (s->in_touch && now - s->touch_at > s->stale) {
-    s->in_touch = 0;
+  if (s->has_contact && now - s->contact_at > s->stale) {
+    s->has_contact = 0;
     pwevent_add(s->p->events, PWE_CUT_OFF, 0, NULL, NULL, NULL,
-                "no leader for %lld ms", (long long)(now - s->touch_at));
+                "no leader for %lld ms", (long long)(now - s->contact_at));
     pwlog(LOG_WARNING, "cut-off", "last_in_touch_ms=%lld",
-          (long long)(now - s->touch_at));
+          (long long)(now - s->contact_at));
   }
-  return s->caught_up && (s->in_touch || s->serve_cut_off);
+  return s->caught_up && (s->has_contact || s->serve_cut_off);
 }
 
 int64_t pwsub_asked_at(const pw_sub *s) {
-  return s->asked_at;
+  return s->as_of;
 }
 
 int64_t pwsub_told_at(const pw_sub *s) {
-  return s->told_at;
+  return s->confirmed_at;
 }
 
 uint64_t pwsub_term(const pw_sub *s) {
--- a/packages/daemon/pwsuspects.c
+++ b/packages/daemon/pwsuspects.c
@@ -1,9 +1,10 @@
-/* pwsuspects.c: requests under which targets ended, as instances tell each other. */
+/* pwsuspects.c: messages between instances about requests that may have crashed
+** targets. */
 #include "pwsuspects.h"
 
 #include <string.h>
 
-static void fill(Pw__Suspect *m, pw_quar_row *row) {
+static void fill_message(Pw__Suspect *m, pw_quar_row *row) {
   pw__suspect__init(m);
   m->sign = row->sign;
   m->targets = row->target;
@@ -11,25 +12,25 @@
   m->age = (uint32_t)row->age_ms;
 }
 
-static size_t fill_all(pw_suspects *s, size_t n) {
+static size_t fill_messages(pw_suspects *s, size_t n) {
   s->n = n;
   for (size_t i = 0; i < n; i++) {
-    fill(&s->message[i], &s->row[i]);
+    fill_message(&s->message[i], &s->row[i]);
     s->list[i] = &s->message[i];
   }
   return n;
 }
 
 size_t pwsuspects_fill(pw_suspects *s, pw_quarantine *q, int64_t now) {
-  return fill_all(s, pwquar_tell(q, s->row, now));
+  return fill_messages(s, pwquar_tell(q, s->row, now));
 }
 
 size_t pwsuspects_list(pw_suspects *s, const pw_quarantine *q, size_t *at,
                        int64_t now) {
-  return fill_all(s, pwquar_list(q, at, s->row, now));
+  return fill_messages(s, pwquar_list(q, at, s->row, now));
 }
 
-/* 0 when it says nothing that can be used. */
+/* Unpacks a message. Returns 0 when it names more targets than a row has. */
 static int read_row(const Pw__Suspect *m, pw_quar_row *out) {
   if (m->n_targets > PW_QUARANTINE_ENDS)
     return 0;
@@ -42,13 +43,14 @@
 
 void pwsuspects_take(pw_quarantine *q, Pw__Suspect *const *list, size_t n,
                      int64_t now,
-                     void (*heard)(void *arg, uint64_t sign, pw_quar_news news),
+                     void (*on_change)(void *arg, uint64_t sign,
+                                       pw_quar_news change),
                      void *arg) {
   for (size_t i = 0; i < n; i++) {
     pw_quar_row row;
-    pw_quar_news news =
+    pw_quar_news change =
         read_row(list[i], &row) ? pwquar_hear(q, &row, now) : PWQUAR_OLD;
-    if (news != PWQUAR_OLD)
-      heard(arg, row.sign, news);
+    if (change != PWQUAR_OLD)
+      on_change(arg, row.sign, change);
   }
 }
--- a/packages/daemon/pwsuspects.h
+++ b/packages/daemon/pwsuspects.h
@@ -1,11 +1,13 @@
-/* pwsuspects.h: requests under which targets ended, as instances tell each other. */
+/* pwsuspects.h: messages between instances about requests that may have crashed
+** targets. */
 #ifndef PWSUSPECTS_H
 #define PWSUSPECTS_H
 
 #include "peatwell.pb-c.h"
 #include "pwquarantine.h"
 
-/* One telling, ready to be packed; refers to itself, so it stays where it is. */
+/* The rows of one message, ready to be packed. It has pointers into itself, so it
+** must not be copied. */
 typedef struct pw_suspects {
   pw_quar_row row[PWQUAR_ROWS];
   Pw__Suspect message[PWQUAR_ROWS];
@@ -13,17 +15,20 @@
   size_t n;
 } pw_suspects;
 
-/* What is due to be told; gives how many. */
+/* Fills in the requests whose state must be sent now. Returns their number. */
 size_t pwsuspects_fill(pw_suspects *s, pw_quarantine *q, int64_t now);
 
-/* The next of what is in quarantine or released (pwquar_list); gives how many. */
+/* Fills in the next requests, from *at on, of those in quarantine or released
+** (pwquar_list). Returns their number. */
 size_t pwsuspects_list(pw_suspects *s, const pw_quarantine *q, size_t *at,
                        int64_t now);
 
-/* Takes what another instance told; calls `heard` with each piece of news. */
+/* Applies what another instance sent. Calls `on_change` for each request whose state
+** changed by that. */
 void pwsuspects_take(pw_quarantine *q, Pw__Suspect *const *list, size_t n,
                      int64_t now,
-                     void (*heard)(void *arg, uint64_t sign, pw_quar_news news),
+                     void (*on_change)(void *arg, uint64_t sign,
+                                       pw_quar_news change),
                      void *arg);
 
 #endif
--- a/packages/daemon/pwtable.c
+++ b/packages/daemon/pwtable.c
@@ -1,4 +1,4 @@
-/* pwtable.c: targets as control instances tell of them. */
+/* pwtable.c: target updates of control instances: heartbeats and tables of them. */
 #include "pwtable.h"
 
 #include "pwbuf.h"
@@ -7,10 +7,10 @@
 #include <stdlib.h>
 #include <zstd.h>
 
-#define LEVEL 3
-#define AGE_STEP_MS 50               /* ages in tables are as exact as this */
-#define TABLE_FROM 16                /* heartbeats that are worth compressing */
-#define TABLE_MAX (16 * 1024 * 1024) /* bytes of a table */
+#define LEVEL 3                      /* zstd compression level */
+#define AGE_STEP_MS 50               /* ages in tables are rounded down to it */
+#define TABLE_FROM 16                /* up to so many are not compressed */
+#define TABLE_MAX (16 * 1024 * 1024) /* bytes of an unpacked table */
 
 void pwtable_pack(Pw__Beat *out, const pw_beat *b, int gone, int silent,
                   int64_t age) {
@@ -44,7 +44,7 @@
   pw_copy(out->version, sizeof out->version, in->version);
 }
 
-/* Only who and which: the rest is known where it was told before. */
+/* The receiver knows the other fields from the heartbeat that is renewed. */
 void pwtable_pack_renewal(Pw__Beat *out, const pw_beat *b, int64_t age) {
   pw__beat__init(out);
   out->target = (char *)b->id;
@@ -61,7 +61,7 @@
 
 enum { LEAVING = 1, GONE = 2, SILENT = 4 };
 
-/* Room for n beats; a Table's lists all have one item for each. */
+/* Allocates the columns of a table with n rows. */
 static void alloc_columns(Pw__Table *t, size_t n) {
   char ***text[] = {&t->target, &t->service, &t->address, &t->availability_zone,
                     &t->version};
@@ -107,7 +107,8 @@
   t->age[i] = b->age - b->age % AGE_STEP_MS;
 }
 
-static int is_even(const Pw__Table *t) {
+/* Whether all columns have one item for each row. The column `born` may be empty. */
+static int has_equal_columns(const Pw__Table *t) {
   const size_t n[] = {
       t->n_service, t->n_address, t->n_version, t->n_availability_zone,
       t->n_slots,   t->n_flags,   t->n_cold,    t->n_seq,
@@ -118,7 +119,7 @@
   return t->n_born == 0 || t->n_born == t->n_target;
 }
 
-/* The beat of a row; its strings stay the table's. */
+/* Reads a row as a heartbeat, whose strings belong to the table. */
 static void get_row(const Pw__Table *t, size_t i, Pw__Beat *out) {
   pw__beat__init(out);
   out->target = t->target[i];
@@ -193,7 +194,7 @@
   Pw__Table *t =
       got == n->table_size ? pw__table__unpack(NULL, got, plain) : NULL;
   free(plain);
-  if (!t || !is_even(t)) {
+  if (!t || !has_equal_columns(t)) {
     pwlog(LOG_ERR, "table-unreadable", "bytes=%zu", n->table.len);
     pw__table__free_unpacked(t, NULL);
     return;
--- a/packages/daemon/pwtable.h
+++ b/packages/daemon/pwtable.h
@@ -1,5 +1,5 @@
-/* pwtable.h: targets as control instances tell of them: single heartbeats, and
-** many at once, compressed. */
+/* pwtable.h: target updates of control instances: single heartbeats, and compressed
+** tables of many. */
 #ifndef PWTABLE_H
 #define PWTABLE_H
 
@@ -7,23 +7,28 @@
 #include "pwdialect.h"
 #include "pwfleet.h"
 
-/* One heartbeat; its strings stay those of `b`. */
+/* Converts a heartbeat to its message, whose strings belong to `b`, and back.
+** `age` is the heartbeat's age in ms. */
 void pwtable_pack(Pw__Beat *out, const pw_beat *b, int gone, int silent,
                   int64_t age);
 void pwtable_unpack(const Pw__Beat *in, pw_beat *out);
 
-/* A target that was heard again, as before. */
+/* Packs a heartbeat that only renews the target's last one: the message has no
+** more than id, number, start and age. */
 void pwtable_pack_renewal(Pw__Beat *out, const pw_beat *b, int64_t age);
+
+/* Whether a message is a renewal. */
 int pwtable_is_renewal(const Pw__Beat *in);
 
-/* Puts heartbeats into a notice: as they are, or compressed when they are many;
-** out->table.data is the caller's to free. */
+/* Adds heartbeats to a notice, as a compressed table when there are many. The
+** caller frees out->table.data. */
 void pwtable_put(Pw__Beat **beats, size_t n, Pw__Notice *out);
 
-/* All targets of a fleet into a notice, whose table is the caller's to free. */
+/* Adds a table of all targets of a fleet to a notice. The caller frees
+** out->table.data. */
 void pwtable_write(const pw_fleet *f, int64_t now, Pw__Notice *out);
 
-/* Calls f for each heartbeat of a notice, those of its table included. */
+/* Calls `f` for each heartbeat of a notice and of its table. */
 void pwtable_read(const Pw__Notice *n,
                   void (*f)(void *arg, const Pw__Beat *beat), void *arg);
 
--- a/packages/daemon/pwview.c
+++ b/packages/daemon/pwview.c
@@ -1,4 +1,4 @@
-/* pwview.c: the read-only picture of the configuration. */
+/* pwview.c: a read-only view of the configuration. */
 #include "pwview.h"
 
 #include "pwadmit.h"
@@ -13,15 +13,17 @@
 #include <string.h>
 #include <uthash.h>
 
+/* A bearer key's hash. */
 typedef struct key_row {
   char hash[2 * PWVIEW_HASH + 1];
   const pw_workspace *workspace;
   UT_hash_handle hh;
 } key_row;
 
+/* A model, an adapter or a service; each kind uses only some of the fields. */
 typedef struct named_row {
   char name[PW_NAME_MAX];
-  char model[PW_NAME_MAX]; /* that it means */
+  char model[PW_NAME_MAX]; /* the model itself, or the adapter's */
   pw_service service;
   int has_rollout;
   pw_rollout rollout;
@@ -156,8 +158,8 @@
   free(v);
 }
 
-/* Looked up by the hash, which tells a caller nothing; compared in constant
-** time all the same. */
+/* The lookup goes by the key's hash, so its timing reveals nothing about the keys.
+** The hashes are also compared in constant time. */
 const pw_workspace *pwview_workspace(const pw_view *v, const char *key) {
   char hash[2 * PWVIEW_HASH + 1];
   key_row *row;
--- a/packages/daemon/pwview.h
+++ b/packages/daemon/pwview.h
@@ -1,8 +1,8 @@
-/* pwview.h: the read-only picture of the configuration that HTTP threads use.
+/* pwview.h: a read-only view of the configuration for HTTP threads.
 **
-** Built by the wire thread whenever the resources change and published with
-** RCU; readers hold rcu_read_lock() while they use it and copy what they keep.
-*/
+** The wire thread builds a new view whenever the resources change and publishes
+** it with RCU. Readers hold rcu_read_lock() while they use a view and copy what
+** they need longer. */
 #ifndef PWVIEW_H
 #define PWVIEW_H
 
@@ -29,12 +29,12 @@
   uint32_t timeout; /* ms */
 } pw_service;
 
-/* What the `policy` resource named "default" sets. */
+/* The values of the `policy` resource named "default". */
 typedef struct pw_policy {
   pw_bound bound;
   double retry_share;
   double min_prefix_tokens;
-  double reuse_worth; /* pw_admit.reuse */
+  double reuse_worth; /* for pw_admit.reuse */
 } pw_policy;
 
 typedef struct pw_view pw_view;
@@ -42,23 +42,26 @@
 pw_view *pwview_build(const pw_res *r);
 void pwview_free(pw_view *v);
 
-/* The workspace a bearer key opens, or NULL. */
+/* The workspace of a bearer key, or NULL. */
 const pw_workspace *pwview_workspace(const pw_view *v, const char *key);
 
-/* The model that a name means, its own or that of an adapter of it; NULL when
-** there is none. */
+/* Returns the model for a name, which is that of a model or of an adapter. NULL
+** when there is neither. */
 const char *pwview_model(const pw_view *v, const char *name);
 
-/* The two versions that share a model's chats; 0 when it has no versions. */
+/* Returns the two versions that share a model's chats. 0 when the model has no
+** versions. */
 int pwview_rollout(const pw_view *v, const char *model, pw_rollout *out);
 
+/* The settings of a service, or NULL. */
 const pw_service *pwview_service(const pw_view *v, const char *name);
 const pw_policy *pwview_policy(const pw_view *v);
 
-/* Hash of a bearer key, as workspaces list it: 64 hexadecimal digits. */
+/* Hashes a bearer key as in a workspace's key_hashes: 64 hexadecimal digits. */
 void pwview_hash_key(const char *key, char out[2 * PWVIEW_HASH + 1]);
 
-/* Reads the policy from resources; defaults where it says nothing. */
+/* Reads the policy from the resources. Fields that it does not set get their
+** defaults. */
 void pwview_read_policy(const pw_res *r, pw_policy *out);
 
 #endif
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -1,4 +1,5 @@
-/* test_ledger.c: the once-ledger when it is crowded, full, old, and packed. */
+/* test_ledger.c: the once-ledger: claims, answers that exceed its limits, a full
+** ledger, expiry and packing; and the set of hashed keys (pwdedup). */
 #include "pwbuf.h"
 #include "pwdedup.h"
 #include "pwlimits.h"
@@ -18,7 +19,7 @@
   return pwonce_claim(o, wall, &c);
 }
 
-/* The wire has type and body where they are kept. */
+/* Claims a key and checks code and `answered` of the result. */
 static void expect_claim(pw_once *o, uint64_t wall, const char *id,
                          const char *key, const char *body, pw_code code,
                          int answered) {
@@ -33,7 +34,7 @@
   r.workspace = "w";
   r.key = "k";
   expect_claim(o, 1, "a", "k", "body", PW_OK, 0);
-  expect_claim(o, 1, "a", "k", "body", PW_OK, 0); /* its own resend */
+  expect_claim(o, 1, "a", "k", "body", PW_OK, 0); /* the same claim again */
   expect_claim(o, 1, "b", "k", "body", PW_E_RUNNING, 0);
   expect_claim(o, 1, "b", "k", "other", PW_E_REUSED, 0);
   r.id = "b";
@@ -53,9 +54,10 @@
   pwonce_free(o);
 }
 
-/* A caller that was told "not run" could never have its request run: copies of its claim were read after
-** the claim was given back, and opened the key for good (4007 for each resend). Neither a copy after the
-** record nor one that comes before any claim does so, also in a ledger that was packed. */
+/* Guards against claims that are open for good: a copy of a claim that was read
+** after the claim was given back was granted, so that a caller with the answer
+** "not run" got 4007 for each resend. Neither a copy that arrives after the record
+** nor one whose record arrives before any claim is granted, also after packing. */
 static void test_given_back(void) {
   pw_once *o = pwonce_new();
   pw_once *copy = pwonce_new();
@@ -80,7 +82,7 @@
   expect_claim(o, 1, "b", "k", "body", PW_OK, 0);
   expect_claim(o, 1, "a", "k", "body", PW_E_RUNNING, 0);
   r.key = "k";
-  pwonce_record(o, &r); /* late as well: the claim is another's now */
+  pwonce_record(o, &r); /* too late: another owner has the claim now */
   expect_claim(o, 1, "b", "k", "body", PW_OK, 0);
   for (int i = 0; i < 2 * PW_ONCE_GIVEN_BACK; i++) {
     char key[32];
@@ -106,16 +108,16 @@
   pwonce_record(o, &r);
 }
 
-/* A key for each number, longest last: none fits another's room. */
+/* A key for each number. The text is valid until the next call. */
 static const char *key_of(uint32_t i) {
   static char key[32];
   snprintf(key, sizeof key, "key-%u", i);
   return key;
 }
 
-/* The fault this is for: a ledger that forgot its oldest answered claims when
-** it was crowded let their resends run again. */
-static void test_crowded(void) {
+/* Guards against requests that run twice: a ledger that removed its oldest
+** answered claims to make room for new answers granted them to resends. */
+static void test_too_many_answers(void) {
   pw_once *o = pwonce_new();
   const uint32_t n = PW_ONCE_ANSWERS + 100;
   for (uint32_t i = 0; i < n; i++) {
@@ -135,9 +137,9 @@
   pwonce_free(o);
 }
 
-/* One that was begun and never ended stays claimed when only its hash is left,
-** until it is as old as all others. */
-static void test_open_past(void) {
+/* A claim without a recorded answer stays claimed when only its hash is left,
+** until the retention time of keys has elapsed. */
+static void test_past_without_answer(void) {
   pw_once *o = pwonce_new();
   expect_claim(o, 1000, "a", "k", "body", PW_OK, 0);
   uint64_t wall = 1000 + PW_ONCE_OPEN_MS + 1;
@@ -152,7 +154,7 @@
   pwonce_free(o);
 }
 
-/* A full ledger refuses; it forgets nothing. */
+/* A full ledger refuses new claims and removes none. */
 static void test_full(void) {
   pw_once *o = pwonce_new();
   for (uint32_t i = 0; i < PW_ONCE_OPEN_MAX; i++)
@@ -184,9 +186,9 @@
   pwonce_free(o);
 }
 
-/* A ledger that was lost claims nothing but what it holds itself, for a time.
- */
-static void test_held(void) {
+/* After a ledger was lost, unknown keys are refused until a set time, while known
+** ones are answered. */
+static void test_refuse_until(void) {
   pw_once *o = pwonce_new();
   expect_claim(o, 1000, "a", "k", "body", PW_OK, 0);
   pwonce_hold(o, 5000);
@@ -196,7 +198,7 @@
   pwonce_free(o);
 }
 
-/* Packed and loaded, it says the same of every claim. */
+/* A ledger that was packed and loaded answers every claim as the original. */
 static void test_packed(void) {
   pw_once *o = pwonce_new();
   pw_once *copy = pwonce_new();
@@ -227,7 +229,7 @@
 
 #define NAIVE_MAX 4000
 
-/* A plain list, searched from end to end. */
+/* Reference implementation of pwdedup: a list with linear search. */
 typedef struct naive {
   pw_dedup_entry e[NAIVE_MAX];
   int first, n;
@@ -240,7 +242,8 @@
   return -1;
 }
 
-/* The table against the list: few first bytes, so that keys crowd one place. */
+/* The hash table against the list. Keys have few different first bytes, so that
+** many share a slot. */
 static void test_dedup_against_naive(void) {
   pw_random rnd = {test_seed(71), 0};
   naive *l = pw_alloc(sizeof *l);
@@ -248,7 +251,7 @@
   for (uint32_t round = 0; l->n < NAIVE_MAX; round++) {
     pw_dedup_entry e = {.at = round / 4, .body = round, .answered = round & 1};
     e.key[0] = (uint8_t)pwrand_below(&rnd, 8);
-    e.key[3] = 0xff; /* near the end of the table: searches wrap round */
+    e.key[3] = 0xff; /* near the end of the table: searches wrap around */
     e.key[8] = (uint8_t)pwrand_below(&rnd, 256);
     e.key[9] = (uint8_t)pwrand_below(&rnd, 16);
     pw_dedup_entry got = {0};
@@ -278,10 +281,10 @@
   TESTS_BEGIN("ledger");
   TEST(test_once);
   TEST(test_given_back);
-  TEST(test_crowded);
-  TEST(test_open_past);
+  TEST(test_too_many_answers);
+  TEST(test_past_without_answer);
   TEST(test_full);
-  TEST(test_held);
+  TEST(test_refuse_until);
   TEST(test_packed);
   TEST(test_dedup_against_naive);
   TESTS_END();
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -1,10 +1,10 @@
-/* test_news.c: what is told of targets, by children that wait to be heard.
+/* test_news.c: reports of targets' states by children whose Hellos wait to be read.
 **
-** What happened: in 17_rollout "v2 everywhere" never came, on busy machines. A target's state is told once,
-** when it changes. Two Hellos of one entry waited while control stood still for 0.4 s; read one after the
-** other, the second state seemed older by the few milliseconds that it had lain at the entry, and was
-** dropped. The agents' last event was the order "load register v1 seq=24" for two of four targets, all of one
-** entry, the leader's last revision 24: it waited for what had been told already. */
+** Guards against rollouts that never end on busy machines (scenario 17_rollout).
+** A target's state is sent once, when it changes. When two Hellos of one entry
+** waited while a control instance stalled for 0.4 s, the second state looked older
+** by the few milliseconds that it had waited at the entry, and was dropped. The
+** leader then waited for a state that had been sent already. */
 #include "pwlimits.h"
 #include "pwnews.h"
 #include "pwtest.h"
@@ -13,13 +13,14 @@
 
 #define NOW 100000
 
-typedef struct told {
+/* A state to report: its child, its content and its age in ms. */
+typedef struct report {
   const char *from;
   uint64_t attempt;
   uint32_t age;
-} told;
+} report;
 
-static void tell(pw_news *n, told t, int64_t now) {
+static void receive(pw_news *n, report t, int64_t now) {
   Pw__ModelState m = PW__MODEL_STATE__INIT;
   m.model = "register";
   m.version = "v1";
@@ -42,42 +43,46 @@
   pwnews_hello(n, &e, now);
 }
 
-static uint64_t known(const pw_news *n) {
+static uint64_t known_attempt(const pw_news *n) {
   const Pw__TargetState *s = pwnews_target(n, "engine-1");
   return s && s->n_models ? s->models[0]->attempt : 0;
 }
 
-/* Read in one go after a standstill, whatever each had waited before it was sent. */
+/* Hellos of one child that are read together after a stall: the last one counts,
+** whatever the ages of the states. */
 static void test_same_child(void) {
   pw_random r = {.seed = test_seed(17)};
   pw_news *n = pwnews_new();
   for (uint64_t attempt = 1; attempt <= 1000; attempt++) {
     int64_t now = NOW + (int64_t)(attempt / 4);
-    tell(n, (told){"entry-1", attempt, (uint32_t)pwrand_below(&r, 400)}, now);
-    CHECK(known(n) == attempt);
+    receive(n, (report){"entry-1", attempt, (uint32_t)pwrand_below(&r, 400)},
+            now);
+    CHECK(known_attempt(n) == attempt);
   }
   pwnews_free(n);
 }
 
-/* A target that has gone to another entry: what the one before tells again, as to a new leader, is older. */
+/* A target that changed to another entry: a state that the earlier entry sends
+** again, as it does to a new leader, is older and ignored. */
 static void test_other_child(void) {
   pw_news *n = pwnews_new();
-  tell(n, (told){"entry-1", 1, 0}, NOW);
-  tell(n, (told){"entry-2", 2, 10}, NOW + 5000);
-  CHECK(known(n) == 2);
-  tell(n, (told){"entry-1", 1, 6000}, NOW + 6000);
-  CHECK(known(n) == 2);
-  tell(n, (told){"entry-2", 3, 7000}, NOW + 7000);
-  CHECK(known(n) == 3);
+  receive(n, (report){"entry-1", 1, 0}, NOW);
+  receive(n, (report){"entry-2", 2, 10}, NOW + 5000);
+  CHECK(known_attempt(n) == 2);
+  receive(n, (report){"entry-1", 1, 6000}, NOW + 6000);
+  CHECK(known_attempt(n) == 2);
+  receive(n, (report){"entry-2", 3, 7000}, NOW + 7000);
+  CHECK(known_attempt(n) == 3);
   pwnews_free(n);
 }
 
-/* One that left this parent and was heard through another since is not gone. */
+/* A target whose agent left this parent is not gone when another child has
+** reported it since. */
 static void test_gone(void) {
   pw_news *n = pwnews_new();
   pw_child left = {.target = "engine-1", .heard = NOW};
-  tell(n, (told){"agent-1", 1, 0}, NOW);
-  tell(n, (told){"entry-2", 1, 0}, NOW + 5000);
+  receive(n, (report){"agent-1", 1, 0}, NOW);
+  receive(n, (report){"entry-2", 1, 0}, NOW + 5000);
   pwnews_child_left(n, &left, NOW + 15000);
   CHECK(!pwnews_target(n, "engine-1")->gone);
   left.heard = NOW + 6000;
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,5 +1,5 @@
-/* test_store.c: the data folder under crashes, damage and full disks; the
-** resources against a naive single copy. */
+/* test_store.c: the data folder after crashes, damage and on a full disk; and the
+** replicated resources, compared with a simple model of them. */
 #include "pwbuf.h"
 #include "pwcons.h"
 #include "pwlimits.h"
@@ -12,19 +12,19 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A file layer that fails on demand. */
+/* State of file calls that fail on demand. */
 typedef struct faults {
   int fail_sync;
   int full;
-  int writes_left; /* bytes until a write is cut short; -1: no limit */
+  int bytes_left; /* bytes until a write is cut short; -1: no limit */
   int syncs;
 } faults;
 
 static ssize_t f_write(void *arg, int fd, const void *data, size_t n) {
   faults *f = arg;
-  if (f->writes_left >= 0 && (int)n > f->writes_left) {
-    ssize_t part = write(fd, data, (size_t)f->writes_left);
-    f->writes_left = 0;
+  if (f->bytes_left >= 0 && (int)n > f->bytes_left) {
+    ssize_t part = write(fd, data, (size_t)f->bytes_left);
+    f->bytes_left = 0;
     if (part > 0)
       return part;
     errno = EIO;
@@ -56,50 +56,51 @@
   return rename(from, to);
 }
 
-typedef struct box {
+/* A data folder under test, and what pwstore_open found in it. */
+typedef struct folder {
   char dir[64];
   faults f;
   pw_file_ops ops;
   pw_store *s;
   pw_store_state st;
   pw_buf err;
-} box;
+} folder;
 
-static pw_code open_box(box *b) {
+static pw_code open_folder(folder *b) {
   b->ops = (pw_file_ops){&b->f, f_write, f_sync, f_reserve, f_rename};
   pwbuf_free(&b->err);
   b->s = NULL;
   return pwstore_open(b->dir, 1, &b->ops, &b->s, &b->st, &b->err);
 }
 
-static void close_box(box *b) {
+static void close_folder(folder *b) {
   pwstore_close(b->s);
   b->s = NULL;
   pwstore_state_free(&b->st);
 }
 
-static void new_box(box *b) {
-  *b = (box){.dir = "/tmp/pwstoreXXXXXX", .f = {.writes_left = -1}};
+static void new_folder(folder *b) {
+  *b = (folder){.dir = "/tmp/pwstoreXXXXXX", .f = {.bytes_left = -1}};
   CHECK(mkdtemp(b->dir) != NULL);
-  CHECK(open_box(b) == PW_OK);
+  CHECK(open_folder(b) == PW_OK);
 }
 
-static void end_box(box *b) {
+static void remove_folder(folder *b) {
   char cmd[128];
-  close_box(b);
+  close_folder(b);
   pwbuf_free(&b->err);
   snprintf(cmd, sizeof cmd, "rm -rf %s", b->dir);
   CHECK(system(cmd) == 0);
 }
 
-static void found(box *b) {
+static void write_first_snapshot(folder *b) {
   Pw__Snapshot s = PW__SNAPSHOT__INIT;
   Pw__Config c = PW__CONFIG__INIT;
   s.config = &c;
   CHECK(pwstore_snapshot(b->s, &s, 0, 0, NULL, 0) == PW_OK);
 }
 
-static pw_code add(box *b, uint64_t term, uint64_t index, const char *text) {
+static pw_code add(folder *b, uint64_t term, uint64_t index, const char *text) {
   Pw__Entry e = PW__ENTRY__INIT;
   Pw__Entry *list[1] = {&e};
   e.term = term;
@@ -110,48 +111,48 @@
   return pwstore_append(b->s, term, 7, list, 1);
 }
 
-static void reopen(box *b) {
-  close_box(b);
-  CHECK(open_box(b) == PW_OK);
+static void reopen(folder *b) {
+  close_folder(b);
+  CHECK(open_folder(b) == PW_OK);
 }
 
-static void test_log_lasts(void) {
-  box b;
-  new_box(&b);
+static void test_log_survives_reopen(void) {
+  folder b;
+  new_folder(&b);
   uint64_t id = b.st.disk_id;
   CHECK(b.st.snapshot == NULL);
-  found(&b);
+  write_first_snapshot(&b);
   for (uint64_t i = 1; i <= 5; i++)
     CHECK(add(&b, 1, i, "one") == PW_OK);
-  CHECK(add(&b, 2, 4, "other") == PW_OK); /* replaces 4 and drops 5 */
+  CHECK(add(&b, 2, 4, "other") == PW_OK); /* replaces 4 and removes 5 */
   reopen(&b);
   CHECK(b.st.disk_id == id);
   CHECK(b.st.nentries == 4);
   CHECK(b.st.term == 2 && b.st.vote == 7);
   CHECK(b.st.entries[3]->term == 2 && b.st.entries[3]->data.len == 5);
-  end_box(&b);
+  remove_folder(&b);
 }
 
-static void log_path(const box *b, char *out, size_t cap) {
+static void log_path(const folder *b, char *out, size_t cap) {
   snprintf(out, cap, "%s/log-%016llx", b->dir, 0ULL);
 }
 
-/* A write torn at any byte loses that batch alone. */
-static void test_torn_tail(void) {
+/* A write that a crash cuts off at any byte loses only that batch. */
+static void test_torn_write(void) {
   for (int cut = 0; cut < 40; cut++) {
-    box b;
-    new_box(&b);
-    found(&b);
+    folder b;
+    new_folder(&b);
+    write_first_snapshot(&b);
     CHECK(add(&b, 1, 1, "kept") == PW_OK);
-    b.f.writes_left = cut;
+    b.f.bytes_left = cut;
     CHECK(add(&b, 1, 2, "torn by a crash") != PW_OK);
-    b.f.writes_left = -1;
+    b.f.bytes_left = -1;
     reopen(&b);
     CHECK(b.st.nentries == 1);
     CHECK(add(&b, 1, 2, "written again") == PW_OK);
     reopen(&b);
     CHECK(b.st.nentries == 2);
-    end_box(&b);
+    remove_folder(&b);
   }
 }
 
@@ -164,88 +165,89 @@
   close(fd);
 }
 
-/* Damage with more behind it stops the start: it was acknowledged. */
-static void test_damage_inside(void) {
-  box b;
+/* A damaged record with more data after it was acknowledged, so the folder must
+** not open. */
+static void test_damage_inside_log(void) {
+  folder b;
   char path[128];
-  new_box(&b);
-  found(&b);
+  new_folder(&b);
+  write_first_snapshot(&b);
   for (uint64_t i = 1; i <= 4; i++)
     CHECK(add(&b, 1, i, "acknowledged") == PW_OK);
-  close_box(&b);
+  close_folder(&b);
   log_path(&b, path, sizeof path);
   flip_byte(path, 80);
-  CHECK(open_box(&b) == PW_E_CORRUPT);
+  CHECK(open_folder(&b) == PW_E_CORRUPT);
   CHECK(strstr(b.err.data, "damaged at byte") != NULL);
-  end_box(&b);
+  remove_folder(&b);
 }
 
 static void test_newer_version(void) {
-  box b;
+  folder b;
   char path[128];
-  new_box(&b);
-  found(&b);
-  close_box(&b);
+  new_folder(&b);
+  write_first_snapshot(&b);
+  close_folder(&b);
   log_path(&b, path, sizeof path);
   uint32_t version = 9;
   int fd = open(path, O_RDWR);
   CHECK(pwrite(fd, &version, 4, 4) == 4);
   close(fd);
-  CHECK(open_box(&b) == PW_E_VERSION);
-  end_box(&b);
+  CHECK(open_folder(&b) == PW_E_VERSION);
+  remove_folder(&b);
 }
 
-static void test_lost_log(void) {
-  box b;
+static void test_missing_log(void) {
+  folder b;
   char path[128];
-  new_box(&b);
-  found(&b);
-  close_box(&b);
+  new_folder(&b);
+  write_first_snapshot(&b);
+  close_folder(&b);
   log_path(&b, path, sizeof path);
   unlink(path);
-  CHECK(open_box(&b) == PW_E_CORRUPT); /* never taken for an empty disk */
-  end_box(&b);
+  CHECK(open_folder(&b) == PW_E_CORRUPT); /* not treated as an empty disk */
+  remove_folder(&b);
 }
 
-static void test_another_slot(void) {
-  box b;
-  new_box(&b);
-  close_box(&b);
+static void test_disk_of_another_control_id(void) {
+  folder b;
+  new_folder(&b);
+  close_folder(&b);
   CHECK(pwstore_open(b.dir, 2, &b.ops, &b.s, &b.st, &b.err) == PW_E_SETTINGS);
-  end_box(&b);
+  remove_folder(&b);
 }
 
 static void test_failed_sync(void) {
-  box b;
-  new_box(&b);
-  found(&b);
+  folder b;
+  new_folder(&b);
+  write_first_snapshot(&b);
   int before = b.f.syncs;
   CHECK(add(&b, 1, 1, "x") == PW_OK);
   CHECK(b.f.syncs > before); /* acknowledged only after a sync */
   b.f.fail_sync = 1;
   CHECK(add(&b, 1, 2, "x") == PW_E_IO);
-  end_box(&b);
+  remove_folder(&b);
 }
 
 static void test_full_disk(void) {
-  box b;
-  new_box(&b);
-  found(&b);
+  folder b;
+  new_folder(&b);
+  write_first_snapshot(&b);
   CHECK(pwstore_reserve(b.s, 1000) == PW_OK);
   b.f.full = 1;
-  CHECK(pwstore_reserve(b.s, 1000) == PW_OK); /* set aside before */
+  CHECK(pwstore_reserve(b.s, 1000) == PW_OK); /* reserved before */
   CHECK(pwstore_reserve(b.s, 10000000) == PW_E_DISK_FULL);
   b.f.full = 0;
   CHECK(pwstore_reserve(b.s, 10000000) == PW_OK);
-  end_box(&b);
+  remove_folder(&b);
 }
 
-/* A snapshot that was not finished leaves the old state whole. */
+/* A crash while a snapshot is written leaves the old state complete. */
 static void test_snapshot_crash(void) {
   for (int cut = 0; cut < 400; cut += 13) {
-    box b;
-    new_box(&b);
-    found(&b);
+    folder b;
+    new_folder(&b);
+    write_first_snapshot(&b);
     for (uint64_t i = 1; i <= 6; i++)
       CHECK(add(&b, 1, i, "entry") == PW_OK);
     Pw__Snapshot s = PW__SNAPSHOT__INIT;
@@ -257,25 +259,26 @@
     s.state.data = (uint8_t *)state;
     s.state.len = sizeof state;
     reopen(&b);
-    b.f.writes_left = cut;
+    b.f.bytes_left = cut;
     pw_code rc = pwstore_snapshot(b.s, &s, 1, 7, b.st.entries + 4, 2);
-    b.f.writes_left = -1;
+    b.f.bytes_left = -1;
     reopen(&b);
     CHECK(b.st.snapshot->index == (rc == PW_OK ? 4 : 0));
     CHECK(b.st.snapshot->index + b.st.nentries == 6);
-    end_box(&b);
+    remove_folder(&b);
   }
 }
 
-/* --- the state against a naive single copy --- */
+/* --- the replicated state against a simple model --- */
 
 #define NAMES 6
 
-typedef struct naive {
-  uint64_t version; /* 0: never there */
+/* Model of one resource. */
+typedef struct expected {
+  uint64_t version; /* 0: never created */
   int live;
   int value;
-} naive;
+} expected;
 
 static Pw__Outcome *put(pw_state *s, const char *name, uint64_t version,
                         int value, int remove) {
@@ -300,7 +303,7 @@
   return o;
 }
 
-static void check_same(const pw_state *s, const naive *n) {
+static void check_against_model(const pw_state *s, const expected *n) {
   for (int i = 0; i < NAMES; i++) {
     char name[16], spec[64];
     snprintf(name, sizeof name, "m%d", i);
@@ -320,8 +323,9 @@
   free(bytes);
 }
 
-/* Follows by deltas from wherever it is; must end up the same. */
-static void follow(pw_res *copy, const pw_res *r) {
+/* Updates a copy by a delta from its revision. It must reach the revision of the
+** original. */
+static void apply_delta(pw_res *copy, const pw_res *r) {
   Pw__Resource *list[1000];
   size_t n = 0;
   int full = pwres_revision(copy) < pwres_floor(r);
@@ -334,11 +338,11 @@
   CHECK(pwres_revision(copy) == pwres_revision(r));
 }
 
-static void test_against_naive(void) {
+static void test_against_model(void) {
   pw_random rnd = {.seed = test_seed(11)};
   pw_state *s = pwstate_new();
   pw_res *copy = pwres_new();
-  naive n[NAMES] = {0};
+  expected n[NAMES] = {0};
   for (int i = 0; i < 20000; i++) {
     int k = (int)pwrand_below(&rnd, NAMES);
     int remove = pwrand_below(&rnd, 5) == 0;
@@ -352,7 +356,7 @@
                                         : PW_OK;
     CHECK(o->code == want);
     CHECK(want != PW_E_CONFLICT || !n[k].live ||
-          o->resources[0]->version == have); /* the winner is shown */
+          o->resources[0]->version == have); /* the current one is shown */
     pw__outcome__free_unpacked(o, NULL);
     if (want == PW_OK) {
       n[k].version++;
@@ -360,13 +364,13 @@
       n[k].value = i + 1;
     }
     if (pwrand_below(&rnd, 50) == 0)
-      follow(copy, pwstate_resources(s));
+      apply_delta(copy, pwstate_resources(s));
     if (pwrand_below(&rnd, 500) == 0)
       save_and_load(&s);
     if (pwrand_below(&rnd, 100) == 0)
-      check_same(s, n);
+      check_against_model(s, n);
   }
-  follow(copy, pwstate_resources(s));
+  apply_delta(copy, pwstate_resources(s));
   for (int i = 0; i < NAMES; i++) {
     char name[16];
     snprintf(name, sizeof name, "m%d", i);
@@ -377,8 +381,8 @@
   pwstate_free(s);
 }
 
-/* A process never goes back, whatever arrives late or twice. */
-static void test_only_forwards(void) {
+/* The revision never goes back when deltas arrive late or twice. */
+static void test_revision_never_goes_back(void) {
   pw_res *r = pwres_new();
   Pw__Resource a = PW__RESOURCE__INIT, b = PW__RESOURCE__INIT;
   Pw__Resource *one[1] = {&a}, *two[1] = {&b};
@@ -390,10 +394,11 @@
   b.version = b.revision = 9;
   CHECK(pwres_merge(r, 1, 0, 9, two, 1) == 1);
   CHECK(pwres_merge(r, 0, 4, 5, one, 1) == 0);  /* late */
-  CHECK(pwres_merge(r, 1, 0, 5, one, 1) == 0);  /* a whole one, late */
+  CHECK(pwres_merge(r, 1, 0, 5, one, 1) == 0);  /* a full set, late */
   CHECK(pwres_merge(r, 0, 9, 9, two, 1) == 0);  /* twice */
-  CHECK(pwres_merge(r, 0, 12, 14, one, 1) < 0); /* a gap: ask again */
-  CHECK(pwres_merge(r, 0, 8, 10, one, 1) == 1); /* stale item inside */
+  CHECK(pwres_merge(r, 0, 12, 14, one, 1) < 0); /* a gap: changes are missing */
+  CHECK(pwres_merge(r, 0, 8, 10, one, 1) ==
+        1); /* with a stale resource in it */
   CHECK(pwres_get(r, "model", "m")->version == 9);
   pwres_free(r);
 }
@@ -421,12 +426,12 @@
   CHECK(!strcmp(o->message, "spec.models: no model named m"));
   CHECK(pwres_get(pwstate_resources(s), "target", "t") == NULL);
   pw__outcome__free_unpacked(o, NULL);
-  ch.n_puts = 2; /* both at once, in any order */
+  ch.n_puts = 2; /* both in one change, in any order */
   pwstate_apply(s, &cmd, &o, &cl);
   CHECK(o->code == PW_OK);
   pw__outcome__free_unpacked(o, NULL);
   o = put(s, "m", 1, 0, 1);
-  CHECK(o->code == PW_E_REFERENCE); /* it is still named */
+  CHECK(o->code == PW_E_REFERENCE); /* the target still refers to it */
   pw__outcome__free_unpacked(o, NULL);
   CHECK(pwres_get(pwstate_resources(s), "model", "m") != NULL);
   pwstate_free(s);
@@ -449,17 +454,17 @@
 
 int main(void) {
   TESTS_BEGIN("store");
-  TEST(test_log_lasts);
-  TEST(test_torn_tail);
-  TEST(test_damage_inside);
+  TEST(test_log_survives_reopen);
+  TEST(test_torn_write);
+  TEST(test_damage_inside_log);
   TEST(test_newer_version);
-  TEST(test_lost_log);
-  TEST(test_another_slot);
+  TEST(test_missing_log);
+  TEST(test_disk_of_another_control_id);
   TEST(test_failed_sync);
   TEST(test_full_disk);
   TEST(test_snapshot_crash);
-  TEST(test_against_naive);
-  TEST(test_only_forwards);
+  TEST(test_against_model);
+  TEST(test_revision_never_goes_back);
   TEST(test_references);
   TEST(test_schema);
   TESTS_END();
