--- a/packages/cli/peatwell.c
+++ b/packages/cli/peatwell.c
@@ -1,4 +1,4 @@
-/* peatwell.c: the operators' command line. */
+/* peatwell.c: main program of `peatwell`, the operators' command line. */
 #include "pwbuf.h"
 #include "pwcmd.h"
 #include "pwkeys.h"
@@ -26,32 +26,31 @@
 
 static const command commands[] = {
     {"apply", pwcmd_apply, "FILE...",
-     "make the resources of TOML files so; says what changes", 1},
+     "create or change the resources of TOML files; prints what changes", 1},
     {"get", pwcmd_get, "[KIND [NAME]]", "show resources", 1},
     {"delete", pwcmd_delete, "KIND NAME", "delete a resource", 1},
-    {"watch", pwcmd_watch, "", "show changes after --since; --follow goes on",
-     1},
+    {"watch", pwcmd_watch, "",
+     "show changes after --since; --follow keeps watching", 1},
     {"status", pwcmd_status, "", "show what is in force where", 1},
     {"drain", pwcmd_drain, "TARGET [off]",
      "give a target no new work, or (off) work again", 1},
     {"evacuate", pwcmd_evacuate, "ZONE",
-     "send nothing new to the targets of an availability zone; --end: take it "
-     "back",
+     "send nothing new to the targets of an availability zone; --end: stop "
+     "that",
      1},
     {"rollout", pwcmd_rollout, "SERVICE [VERSION SECONDS]",
-     "move a service to targets of another version, or show where that stands",
-     1},
+     "move a service to targets of another version, or show its rollout", 1},
     {"timeline", pwcmd_timeline, "", "merge the events of all processes", 1},
     {"trace", pwcmd_trace, "ID [LOG...]",
-     "tell one request's story from log files, or standard input", 0},
+     "show the lines of one request in log files, or standard input", 0},
     {"requests", pwcmd_requests, "GATEWAY...",
-     "show requests under way at gateways (IP:PORT of their metrics), and the "
-     "targets that hold them",
+     "show requests in flight at gateways (IP:PORT of their metrics), and the "
+     "targets that they are at",
      0},
     {"report", pwcmd_report, "[FILE.html]", "measure the fleet for a while", 1},
     {"backup", pwcmd_backup, "FILE", "write all resources to a file", 1},
     {"restore", pwcmd_restore, "FILE",
-     "make the resources of a backup so, all or none", 1},
+     "write back the resources of a backup, all or none", 1},
     {"check", pwcmd_check, "SETTINGS...", "check settings files", 0},
     {"keygen", pwcmd_keygen, "FILE",
      "make a CURVE key pair; prints the public key", 0},
@@ -90,7 +89,7 @@
   for (int i = 0; i < NCOMMANDS; i++)
     printf("  %-9s %-14s %s\n", commands[i].name, commands[i].args,
            commands[i].help);
-  puts("\n`peatwell COMMAND --help` tells a command's options.");
+  puts("\n`peatwell COMMAND --help` shows a command's options.");
 }
 
 static const command *find(const char *name) {
@@ -142,10 +141,12 @@
   struct arg_lit *wait =
       arg_lit0("w", "wait", "wait until it is in force everywhere");
   struct arg_int *timeout =
-      arg_int0("t", "timeout", "SECONDS", "longest to wait (30)");
+      arg_int0("t", "timeout", "SECONDS", "longest time to wait (30)");
   struct arg_lit *dry = arg_lit0("n", "dry-run", "only show the difference");
-  struct arg_lit *follow = arg_lit0("f", "follow", "go on until interrupted");
-  struct arg_lit *back = arg_lit0(NULL, "end", "evacuate: the evacuation ends");
+  struct arg_lit *follow =
+      arg_lit0("f", "follow", "continue until interrupted");
+  struct arg_lit *end_evacuation =
+      arg_lit0(NULL, "end", "evacuate: end the evacuation");
   struct arg_str *since =
       arg_str0(NULL, "since", "N", "revision (watch) or ms since 1970");
   struct arg_int *seconds =
@@ -157,15 +158,15 @@
   struct arg_lit *help = arg_lit0("h", "help", "print this help");
   struct arg_str *args = arg_strn(NULL, NULL, cmd->args, 0, ARGS_MAX, "");
   struct arg_end *end = arg_end(8);
-  void *table[] = {server, key,  output, wait,    timeout, dry,
-                   follow, back, since,  seconds, chat,    request,
-                   target, help, args,   end};
+  void *table[] = {
+      server, key,     output, wait,    timeout, dry,  follow, end_evacuation,
+      since,  seconds, chat,   request, target,  help, args,   end};
   int errors = arg_parse(argc, argv, table);
   int code = PWEXIT_USAGE;
   pw_options o = {.wait = wait->count,
                   .dry_run = dry->count,
                   .follow = follow->count,
-                  .end = back->count,
+                  .end = end_evacuation->count,
                   .since = value(since),
                   .seconds = seconds->count ? seconds->ival[0] : 10,
                   .chat = value(chat),
--- a/packages/cli/pwbackup.c
+++ b/packages/cli/pwbackup.c
@@ -1,4 +1,4 @@
-/* pwbackup.c: `peatwell backup` and `restore`: the resources as one file. */
+/* pwbackup.c: `peatwell backup` and `restore`: write all resources to a file, and back. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -36,8 +36,8 @@
   return rc == 0 ? PWEXIT_OK : PWEXIT_FAILED;
 }
 
-/* What the leader writes follows from the rest, and is made anew. */
-static void drop_leaders(json_t *list) {
+/* Removes the resources that only the leader writes: it derives them again from the others. */
+static void drop_leader_only(json_t *list) {
   for (size_t i = json_array_size(list); i-- > 0;) {
     const json_t *r = json_array_get(list, i);
     if (pwres_is_leaders(json_string_value(json_object_get(r, "kind"))))
@@ -45,7 +45,7 @@
   }
 }
 
-/* The group's number, to be freed; "" when it is not told. */
+/* Reads the control group's id into *group, to be freed; "" when the status lacks it. */
 static pw_code read_group(pw_options *o, char **group, char *message) {
   json_t *status = NULL;
   pw_code rc = pwclient_call(&o->client, "GET", "/v1/status", NULL, &status,
@@ -57,29 +57,29 @@
 
 int pwcmd_backup(pw_options *o) {
   char message[MESSAGE] = "";
-  json_t *have = NULL;
+  json_t *backup = NULL;
   char *group;
   if (o->nargs != 1)
     return usage("backup FILE");
   pw_code rc = read_group(o, &group, message);
   if (rc == PW_OK)
-    rc = pwclient_call(&o->client, "GET", ROOT, NULL, &have, message,
+    rc = pwclient_call(&o->client, "GET", ROOT, NULL, &backup, message,
                        sizeof message);
   int code;
   if (rc != PW_OK) {
     code = pwcmd_error(rc, message);
   } else {
-    json_object_set_new(have, "peatwell_backup", json_integer(FORMAT));
-    json_object_set_new(have, "group", json_string(group));
-    drop_leaders(json_object_get(have, "resources"));
-    code = write_file(o->args[0], have);
+    json_object_set_new(backup, "peatwell_backup", json_integer(FORMAT));
+    json_object_set_new(backup, "group", json_string(group));
+    drop_leader_only(json_object_get(backup, "resources"));
+    code = write_file(o->args[0], backup);
     if (code == PWEXIT_OK)
       printf("%zu resources of revision %lld written to %s\n",
-             json_array_size(json_object_get(have, "resources")),
-             (long long)json_integer_value(json_object_get(have, "revision")),
+             json_array_size(json_object_get(backup, "resources")),
+             (long long)json_integer_value(json_object_get(backup, "revision")),
              o->args[0]);
   }
-  json_decref(have);
+  json_decref(backup);
   free(group);
   return code;
 }
@@ -99,7 +99,7 @@
   return NULL;
 }
 
-/* Place of a policy in the list, or its size when it is not there. */
+/* Index of a policy in the list, or the list's size when it is missing. */
 static size_t find_policy(const json_t *list, const char *name) {
   size_t i;
   const json_t *r;
@@ -111,29 +111,29 @@
   return i;
 }
 
-/* How long keys were kept that may not run again, s. */
-static double kept_s(const json_t *list) {
+/* Seconds for which the group of the backup remembers the keys of requests that may run once. */
+static double keys_kept_s(const json_t *list) {
   const json_t *r = json_array_get(list, find_policy(list, "default"));
   return pwjson_number(json_object_get(r, "spec"), "once_keep_s",
                        (double)PW_ONCE_KEEP_MS / 1000);
 }
 
-/* Another group does not know which keys ran: it claims none until the last of
-** them is as old as keys get. */
-static void hold_keys(json_t *list) {
-  double keep = kept_s(list);
+/* Makes a group other than that of the backup refuse all keys until those that
+** may have run have expired: it has no record of them and could run one twice. */
+static void refuse_keys(json_t *list) {
+  double keep = keys_kept_s(list);
   double until = (double)pwclock_wall_ms() / 1000 + keep;
   json_array_remove(list, find_policy(list, PWSTATE_ONCE_HOLD));
   json_array_append_new(list, json_pack("{s:s,s:s,s:{s:f}}", "kind", "policy",
                                         "name", PWSTATE_ONCE_HOLD, "spec",
                                         "once_from_s", until));
-  printf("the once-ledger is in no backup: requests that may not be repeated "
-         "are refused (%d) for %.0f s, unless policy/%s is deleted\n",
+  printf("a backup has no once-ledger: requests that may run only once are "
+         "refused (%d) for %.0f s, unless policy/%s is deleted\n",
          PW_E_LEDGER_LOST, keep, PWSTATE_ONCE_HOLD);
 }
 
-/* Writes what the backup holds, whatever its version was; what it does not name
-** stays. All or nothing. */
+/* Writes the resources of the backup over any present version, all or none.
+** Resources that the backup does not name stay. */
 int pwcmd_restore(pw_options *o) {
   char message[MESSAGE] = "";
   json_t *answer = NULL;
@@ -156,7 +156,7 @@
   }
   pw_code rc = read_group(o, &group, message);
   if (rc == PW_OK && strcmp(group, pwjson_text(doc, "group")) != 0)
-    hold_keys(list);
+    refuse_keys(list);
   free(group);
   json_t *body = json_pack("{s:O}", "resources", list);
   if (rc == PW_OK)
--- a/packages/cli/pwclient.c
+++ b/packages/cli/pwclient.c
@@ -22,7 +22,7 @@
   nanosleep(&ts, NULL);
 }
 
-static void draw_key(char out[2 * KEY_BYTES + 1]) {
+static void random_key(char out[2 * KEY_BYTES + 1]) {
   unsigned char bytes[KEY_BYTES];
   randombytes_buf(bytes, sizeof bytes);
   sodium_bin2hex(out, 2 * KEY_BYTES + 1, bytes, sizeof bytes);
@@ -36,14 +36,14 @@
   const json_t *error = json_object_get(*answer, "error");
   const char *text = json_string_value(json_object_get(error, "message"));
   json_int_t code = json_integer_value(json_object_get(error, "code"));
-  snprintf(message, cap, "%s", text ? text : "the answer is not JSON");
+  snprintf(message, cap, "%s", text ? text : "error answer without a message");
   return code ? (pw_code)code : PW_E_UPSTREAM;
 }
 
 static pw_code call_one(const pw_client *c, const char *server,
                         const char *method, const char *path, const char *body,
-                        const char *once, json_t **answer, char *message,
-                        size_t cap) {
+                        const char *idempotency_key, json_t **answer,
+                        char *message, size_t cap) {
   char url[128], bearer[512];
   pw_fetch_header h[3];
   int n = 0;
@@ -53,8 +53,8 @@
     snprintf(bearer, sizeof bearer, "Bearer %s", c->key);
     h[n++] = (pw_fetch_header){"Authorization", bearer};
   }
-  if (once)
-    h[n++] = (pw_fetch_header){"Idempotency-Key", once};
+  if (idempotency_key)
+    h[n++] = (pw_fetch_header){"Idempotency-Key", idempotency_key};
   pw_buf out = {0};
   int status = 0;
   pw_code rc = pwfetch_text(url, method, path, h, n, body, CALL_TIMEOUT_S,
@@ -67,9 +67,9 @@
   return rc;
 }
 
-/* Errors after which the same call may be made again elsewhere: the key makes
-** a change that was made already give its first result. */
-static int is_passing(pw_code rc) {
+/* Errors after which the same call may be repeated at another server: with the
+** same Idempotency-Key, a change that was already made gives its first result. */
+static int is_retryable(pw_code rc) {
   return rc == PW_E_NOT_LEADER || rc == PW_E_CONNECT || rc == PW_E_CUT ||
          rc == PW_E_TIMEOUT || rc == PW_E_UNKNOWN || rc == PW_E_UPSTREAM;
 }
@@ -77,20 +77,20 @@
 pw_code pwclient_call(pw_client *c, const char *method, const char *path,
                       const json_t *body, json_t **answer, char *message,
                       size_t cap) {
-  char once[2 * KEY_BYTES + 1];
-  int changes = strcmp(method, "GET") != 0;
+  char idempotency_key[2 * KEY_BYTES + 1];
+  int is_change = strcmp(method, "GET") != 0;
   char *text = body ? json_dumps(body, JSON_COMPACT) : NULL;
   int64_t until = pwclock_ms() + c->timeout_ms;
   pw_code rc;
-  draw_key(once);
+  random_key(idempotency_key);
   for (;;) {
     *answer = NULL;
-    rc = call_one(c, c->server[c->at], method, path, text,
-                  changes ? once : NULL, answer, message, cap);
-    if (!is_passing(rc) || pwclock_ms() >= until)
+    rc = call_one(c, c->server[c->current], method, path, text,
+                  is_change ? idempotency_key : NULL, answer, message, cap);
+    if (!is_retryable(rc) || pwclock_ms() >= until)
       break;
     json_decref(*answer);
-    c->at = (c->at + 1) % c->nservers;
+    c->current = (c->current + 1) % c->nservers;
     pause_ms(PAUSE_MS);
   }
   free(text);
@@ -98,10 +98,10 @@
 }
 
 pw_code pwclient_get(const char *server, const char *path, json_t **answer) {
-  pw_client none = {0};
+  pw_client anonymous = {0};
   char message[128];
   *answer = NULL;
-  return call_one(&none, server, "GET", path, NULL, NULL, answer, message,
+  return call_one(&anonymous, server, "GET", path, NULL, NULL, answer, message,
                   sizeof message);
 }
 
@@ -109,7 +109,9 @@
                       size_t cap) {
   struct stat st;
   if (stat(path, &st) != 0 || (st.st_mode & 077) != 0) {
-    snprintf(message, cap, "%s: must be there, with mode 0600", path);
+    snprintf(message, cap,
+             "%s: key file is missing or open to others; mode 0600 is needed",
+             path);
     return -1;
   }
   FILE *f = fopen(path, "re");
@@ -118,7 +120,7 @@
   if (f)
     fclose(f);
   if (n != 1) {
-    snprintf(message, cap, "%s: holds no key", path);
+    snprintf(message, cap, "%s: contains no key", path);
     return -1;
   }
   c->key = pw_dup(key);
--- a/packages/cli/pwcmd.c
+++ b/packages/cli/pwcmd.c
@@ -53,7 +53,7 @@
   size_t i;
   json_t *r;
   if (!json_is_array(found)) {
-    fprintf(stderr, "%s: no [[resource]] in it\n", path);
+    fprintf(stderr, "%s: contains no [[resource]]\n", path);
     goto done;
   }
   json_array_foreach(found, i, r) {
@@ -118,14 +118,15 @@
   }
 }
 
-/* Fills `changes` with what differs; prints a line for each resource. */
+/* Adds the wanted resources that differ from the current ones to `changes`; prints a line for
+** each wanted resource. */
 static void compare(const pw_options *o, const json_t *wanted,
-                    const json_t *have, json_t *changes) {
+                    const json_t *current, json_t *changes) {
   size_t i;
   json_t *r;
   json_array_foreach(wanted, i, r) {
     const json_t *old =
-        find(have, pwjson_text(r, "kind"), pwjson_text(r, "name"));
+        find(current, pwjson_text(r, "kind"), pwjson_text(r, "name"));
     const json_t *old_spec = json_object_get(old, "spec");
     const json_t *spec = json_object_get(r, "spec");
     int same = old && json_equal(old_spec, spec);
@@ -169,20 +170,20 @@
 
 int pwcmd_apply(pw_options *o) {
   char message[MESSAGE] = "";
-  json_t *have = NULL;
+  json_t *current = NULL;
   json_t *changes = json_array();
   int code = PWEXIT_INPUT;
   json_t *wanted = pwcmd_read_files(o->args, o->nargs);
   if (!wanted)
     goto done;
-  pw_code rc = pwclient_call(&o->client, "GET", ROOT, NULL, &have, message,
+  pw_code rc = pwclient_call(&o->client, "GET", ROOT, NULL, &current, message,
                              sizeof message);
   if (rc != PW_OK) {
     code = pwcmd_error(rc, message);
     goto done;
   }
-  compare(o, wanted, json_object_get(have, "resources"), changes);
-  json_int_t revision = number(have, "revision");
+  compare(o, wanted, json_object_get(current, "resources"), changes);
+  json_int_t revision = number(current, "revision");
   code = PWEXIT_OK;
   if (json_array_size(changes) == 0) {
     if (!o->json)
@@ -194,29 +195,29 @@
     code = pwcmd_wait(o, revision);
 done:
   json_decref(wanted);
-  json_decref(have);
+  json_decref(current);
   json_decref(changes);
   return code;
 }
 
 /* --- waiting --- */
 
-static int is_everywhere(const json_t *force, json_int_t revision) {
-  return number(force, "revision") >= revision &&
-         json_is_true(json_object_get(force, "settled"));
+static int is_everywhere(const json_t *in_force, json_int_t revision) {
+  return number(in_force, "revision") >= revision &&
+         json_is_true(json_object_get(in_force, "settled"));
 }
 
-static void show_progress(const json_t *force, json_int_t revision,
+static void show_progress(const json_t *in_force, json_int_t revision,
                           json_int_t *shown) {
-  json_int_t now = number(force, "revision");
+  json_int_t now = number(in_force, "revision");
   if (now == *shown)
     return;
   *shown = now;
   fprintf(stderr, "in force: revision %lld of %lld in %lld processes%s%s\n",
           (long long)now, (long long)revision,
-          (long long)number(force, "processes"),
+          (long long)number(in_force, "processes"),
           now < revision ? ", behind: " : "",
-          now < revision ? pwjson_text(force, "behind") : "");
+          now < revision ? pwjson_text(in_force, "behind") : "");
 }
 
 int pwcmd_wait(pw_options *o, json_int_t revision) {
@@ -228,14 +229,15 @@
     json_t *st;
     if (pwclient_call(&o->client, "GET", "/v1/status", NULL, &st, message,
                       sizeof message) == PW_OK) {
-      const json_t *force = json_object_get(st, "in_force");
-      show_progress(force, revision, &shown);
-      int done = is_everywhere(force, revision);
+      const json_t *in_force = json_object_get(st, "in_force");
+      show_progress(in_force, revision, &shown);
+      int done = is_everywhere(in_force, revision);
       snprintf(why, sizeof why, "%s still has revision %lld",
-               pwjson_text(force, "behind"),
-               (long long)number(force, "revision"));
-      if (!json_is_true(json_object_get(force, "settled")))
-        snprintf(why, sizeof why, "the new leader has not heard from all yet");
+               pwjson_text(in_force, "behind"),
+               (long long)number(in_force, "revision"));
+      if (!json_is_true(json_object_get(in_force, "settled")))
+        snprintf(why, sizeof why,
+                 "the new leader has not received all revisions yet");
       json_decref(st);
       if (done) {
         fprintf(stderr, "in force everywhere\n");
@@ -296,7 +298,7 @@
   return code;
 }
 
-/* Makes one change and waits if asked to. */
+/* Makes one change; with --wait, waits until it is in force. */
 static int change_one(pw_options *o, const char *method, const char *path,
                       const json_t *body, const char *done) {
   char message[MESSAGE] = "";
@@ -422,17 +424,17 @@
 }
 
 static void print_status(const json_t *st) {
-  const json_t *force = json_object_get(st, "in_force");
+  const json_t *in_force = json_object_get(st, "in_force");
   size_t i;
   json_t *m;
   printf("leader %s  term %lld  revision %lld\n", pwjson_text(st, "leader"),
          (long long)number(st, "term"), (long long)number(st, "revision"));
   printf("in force: revision %lld in %lld processes%s\n",
-         (long long)number(force, "revision"),
-         (long long)number(force, "processes"),
-         json_is_true(json_object_get(force, "settled"))
+         (long long)number(in_force, "revision"),
+         (long long)number(in_force, "processes"),
+         json_is_true(json_object_get(in_force, "settled"))
              ? ""
-             : " (a new leader is still hearing from all)");
+             : " (a new leader is still collecting revisions)");
   json_array_foreach(json_object_get(st, "members"), i, m) {
     printf("control %lld  %-9s %s\n", (long long)number(m, "id"),
            pwjson_text(m, "role"), pwjson_text(m, "wire"));
@@ -449,13 +451,13 @@
   print_rows(json_object_get(st, "children"));
 }
 
-/* One line for each change of a rollout. Gives 1 when all are settled, -1 when
-** one was rolled back. */
+/* Prints a line for each rollout that changed. Gives 0 until all are settled,
+** then -1 if one was rolled back, else 1. */
 static int follow_rollouts(const json_t *list, json_t *shown) {
   size_t i;
   const json_t *r;
   int settled = 1;
-  int back = 0;
+  int rolled_back = 0;
   json_array_foreach(list, i, r) {
     if (!json_equal(r, json_object_get(shown, pwjson_text(r, "model")))) {
       fprintf(
@@ -467,9 +469,9 @@
       json_object_set(shown, pwjson_text(r, "model"), (json_t *)r);
     }
     settled &= json_is_true(json_object_get(r, "settled"));
-    back |= !strcmp(pwjson_text(r, "state"), "rolled-back");
+    rolled_back |= !strcmp(pwjson_text(r, "state"), "rolled-back");
   }
-  return !settled ? 0 : back ? -1 : 1;
+  return !settled ? 0 : rolled_back ? -1 : 1;
 }
 
 static int wait_for_rollouts(pw_options *o) {
@@ -489,10 +491,10 @@
     nanosleep(&ts, NULL);
   }
   json_decref(shown);
-  if (settled > 0) /* the last step, too, is to be in force */
+  if (settled > 0) /* the last step must be in force, too */
     return pwcmd_wait(o, revision);
   return pwcmd_error(settled ? PW_E_ROLLED_BACK : PW_E_WAIT,
-                     settled ? "" : "a rollout is still under way");
+                     settled ? "" : "a rollout is still in progress");
 }
 
 int pwcmd_status(pw_options *o) {
@@ -518,24 +520,26 @@
 
 int pwcmd_drain(pw_options *o) {
   char path[256], message[MESSAGE] = "";
-  json_t *have;
+  json_t *current;
   if (o->nargs < 1)
     return pwcmd_error(PW_E_USAGE, "drain TARGET [off]") ? PWEXIT_USAGE : 0;
   int on = o->nargs < 2 || strcmp(o->args[1], "off") != 0;
   snprintf(path, sizeof path, ROOT "/target/%s", o->args[0]);
-  pw_code rc = pwclient_call(&o->client, "GET", path, NULL, &have, message,
+  pw_code rc = pwclient_call(&o->client, "GET", path, NULL, &current, message,
                              sizeof message);
   if (rc != PW_OK) {
-    json_decref(have);
+    json_decref(current);
     return pwcmd_error(rc, message);
   }
-  json_object_set_new(json_object_get(have, "spec"), "drain", json_boolean(on));
-  json_t *body = json_pack("{s:O,s:O}", "spec", json_object_get(have, "spec"),
-                           "version", json_object_get(have, "version"));
+  json_object_set_new(json_object_get(current, "spec"), "drain",
+                      json_boolean(on));
+  json_t *body =
+      json_pack("{s:O,s:O}", "spec", json_object_get(current, "spec"),
+                "version", json_object_get(current, "version"));
   int code =
       change_one(o, "PUT", path, body, on ? "draining" : "taking work again");
   json_decref(body);
-  json_decref(have);
+  json_decref(current);
   return code;
 }
 
--- a/packages/cli/pwcmd.h
+++ b/packages/cli/pwcmd.h
@@ -9,9 +9,9 @@
   PWEXIT_OK = 0,
   PWEXIT_FAILED = 1, /* refused by the API, or nothing answered */
   PWEXIT_USAGE = 2,
-  PWEXIT_INPUT = 3,    /* a file is wrong */
-  PWEXIT_CONFLICT = 4, /* somebody else's change won */
-  PWEXIT_WAIT = 5      /* made, but not in force everywhere in time */
+  PWEXIT_INPUT = 3,    /* an input file is invalid */
+  PWEXIT_CONFLICT = 4, /* another change was made first */
+  PWEXIT_WAIT = 5 /* changed, but not in force everywhere before the timeout */
 };
 
 /* Options that all subcommands share. */
@@ -21,7 +21,7 @@
   int wait;
   int dry_run;
   int follow;
-  int end;     /* evacuate: it ends */
+  int end;     /* evacuate: end the evacuation */
   int seconds; /* report: how long to measure */
   const char *since;
   const char *chat;
@@ -49,7 +49,7 @@
 int pwcmd_keygen(pw_options *o);
 int pwcmd_keyhash(pw_options *o);
 
-/* Prints an answer as JSON where that was asked for; gives whether it did. */
+/* Prints an answer as JSON with `--output json`; gives whether it did. */
 int pwcmd_print_json(const pw_options *o, const json_t *answer);
 
 /* Prints an error as one line with its code; gives the exit code. */
@@ -58,10 +58,10 @@
 /* The processes of the fleet as a JSON list of {http, role}; new reference. */
 json_t *pwcmd_processes(pw_options *o);
 
-/* Waits until `revision` is in force everywhere, showing progress. */
+/* Waits until `revision` is in force everywhere and shows the progress; gives the exit code. */
 int pwcmd_wait(pw_options *o, json_int_t revision);
 
-/* Reads resources of TOML files into a JSON list; NULL after printing why. */
+/* Reads the resources of TOML files into a JSON list; NULL after printing what is invalid. */
 json_t *pwcmd_read_files(const char *const *files, int n);
 
 #endif
--- a/packages/cli/pwevacuatecmd.c
+++ b/packages/cli/pwevacuatecmd.c
@@ -1,4 +1,5 @@
-/* pwevacuatecmd.c: `peatwell evacuate`: an availability zone whose targets get nothing new. */
+/* pwevacuatecmd.c: `peatwell evacuate`: starts or ends the evacuation of an
+** availability zone, whose targets get no new requests meanwhile. */
 #include "pwcmd.h"
 
 #include "pwlimits.h"
@@ -8,8 +9,8 @@
 #define MESSAGE 256
 #define PATH_BYTES (PW_NAME_MAX + 64)
 
-/* Ended already is as good as ended. */
-static int is_so(const pw_options *o, pw_code rc) {
+/* Ending an evacuation that does not exist (any more) counts as success. */
+static int is_done(const pw_options *o, pw_code rc) {
   return rc == PW_OK || (o->end && rc == PW_E_NOT_FOUND);
 }
 
@@ -25,12 +26,12 @@
   pw_code rc = pwclient_call(&o->client, o->end ? "DELETE" : "PUT", path, body,
                              &answer, message, sizeof message);
   json_decref(body);
-  if (!is_so(o, rc)) {
+  if (!is_done(o, rc)) {
     json_decref(answer);
     return pwcmd_error(rc, message);
   }
   if (!pwcmd_print_json(o, answer))
-    printf("%s: %s\n", o->args[0], o->end ? "taken back" : "evacuated");
+    printf("%s: %s\n", o->args[0], o->end ? "evacuation ended" : "evacuated");
   json_decref(answer);
   return PWEXIT_OK;
 }
--- a/packages/cli/pwprocs.c
+++ b/packages/cli/pwprocs.c
@@ -7,7 +7,7 @@
 
 #define PROCESSES_MAX 16384
 
-/* Adds a process by its HTTP address unless it is there. */
+/* Adds a process unless its HTTP address is already listed. */
 static void add(json_t *list, const char *http, const char *role) {
   size_t i;
   json_t *p;
@@ -29,7 +29,7 @@
   }
 }
 
-/* Control instances and entries from the status; agents from the entries. */
+/* Control instances and entries come from the status, agents from the entries' children. */
 json_t *pwcmd_processes(pw_options *o) {
   char message[256];
   json_t *list = json_array();
--- a/packages/cli/pwreportcmd.c
+++ b/packages/cli/pwreportcmd.c
@@ -1,5 +1,5 @@
-/* pwreportcmd.c: `peatwell report`: the three measures over a time, as a
-** table and as one HTML file with a picture. */
+/* pwreportcmd.c: `peatwell report`: measures cache hits, load skew and control
+** traffic of the fleet for a time; prints a table and draws charts in an HTML file. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -20,23 +20,23 @@
 #define WORKSPACES_MAX 64
 #define NAME_BYTES 64
 
-/* What is read of one process. */
-typedef struct reading {
+/* Figures from one process's /metrics. */
+typedef struct sample {
   double cached, prompt, control, requests, not_run, load;
   int ok;
-} reading;
+} sample;
 
 typedef struct process {
   const char *http;
   int is_agent;
-  reading now, before;
+  sample now, before;
 } process;
 
-/* One second of the whole fleet. */
+/* Figures of the whole fleet over one second. */
 typedef struct second {
   double hit;      /* % of prompt tokens cached */
-  double skew;     /* busiest target over the mean */
-  double control;  /* bytes a second of the process that spends most */
+  double skew;     /* load of the busiest target over the mean */
+  double control;  /* bytes/s of the process with the most control traffic */
   double requests; /* a second */
   double refused;  /* a second */
 } second;
@@ -71,44 +71,44 @@
   pw_code rc = pwfetch_text(url, "GET", "/metrics", NULL, 0, NULL, TIMEOUT_S,
                             METRICS_MAX, &status, &out);
   const char *t = out.data ? out.data : "";
-  p->now = (reading){.ok = rc == PW_OK && status == 200,
-                     .cached = counter(t, "cached_tokens_total"),
-                     .prompt = counter(t, "prompt_tokens_total"),
-                     .control = counter(t, "control_sent_bytes_total") +
-                                counter(t, "control_received_bytes_total"),
-                     .requests = counter(t, "requests_total"),
-                     .not_run = counter(t, "answers_not_run_total"),
-                     .load = counter(t, "load_tokens")};
+  p->now = (sample){.ok = rc == PW_OK && status == 200,
+                    .cached = counter(t, "cached_tokens_total"),
+                    .prompt = counter(t, "prompt_tokens_total"),
+                    .control = counter(t, "control_sent_bytes_total") +
+                               counter(t, "control_received_bytes_total"),
+                    .requests = counter(t, "requests_total"),
+                    .not_run = counter(t, "answers_not_run_total"),
+                    .load = counter(t, "load_tokens")};
   pwbuf_free(&out);
 }
 
-/* A process that was restarted in between counts from nothing. */
-static double grown(double now, double before) {
+/* The increase of a counter, which starts again from 0 when its process restarts. */
+static double increase(double now, double before) {
   return now >= before ? now - before : now;
 }
 
 static second sum_up(const report *r, double seconds) {
   second s = {0};
-  double cached = 0, prompt = 0, sum = 0, most = 0;
+  double cached = 0, prompt = 0, sum = 0, max = 0;
   int agents = 0;
   for (int i = 0; i < r->n; i++) {
     const process *p = &r->p[i];
     if (!p->now.ok || !p->before.ok)
       continue;
-    double control = grown(p->now.control, p->before.control) / seconds;
+    double control = increase(p->now.control, p->before.control) / seconds;
     s.control = control > s.control ? control : s.control;
-    cached += grown(p->now.cached, p->before.cached);
-    prompt += grown(p->now.prompt, p->before.prompt);
-    s.requests += grown(p->now.requests, p->before.requests) / seconds;
-    s.refused += grown(p->now.not_run, p->before.not_run) / seconds;
+    cached += increase(p->now.cached, p->before.cached);
+    prompt += increase(p->now.prompt, p->before.prompt);
+    s.requests += increase(p->now.requests, p->before.requests) / seconds;
+    s.refused += increase(p->now.not_run, p->before.not_run) / seconds;
     if (!p->is_agent)
       continue;
     agents++;
     sum += p->now.load;
-    most = p->now.load > most ? p->now.load : most;
+    max = p->now.load > max ? p->now.load : max;
   }
   s.hit = prompt > 0 ? 100 * cached / prompt : 0;
-  s.skew = sum > 0 ? most * agents / sum : 0;
+  s.skew = sum > 0 ? max * agents / sum : 0;
   return s;
 }
 
@@ -133,7 +133,7 @@
   }
 }
 
-/* --- refusals by workspace, from the time line --- */
+/* --- refusals by workspace, from the event timeline --- */
 
 static void count_refusal(report *r, const char *chat) {
   char name[NAME_BYTES];
@@ -161,7 +161,7 @@
     size_t k;
     json_t *e;
     if (r->p[i].is_agent)
-      continue; /* what an agent refuses may run elsewhere */
+      continue; /* a request that an agent refuses may run at another target */
     pwclient_get(r->p[i].http, path, &events);
     json_array_foreach(events, k, e) {
       if (!strcmp(pwjson_text(e, "event"), "refused"))
@@ -198,7 +198,7 @@
 static const struct row {
   const char *name;
   field get;
-  int loaded; /* mean over the seconds that had any load */
+  int skip_idle; /* the mean leaves out seconds without load */
 } rows[] = {{"prompt tokens cached, %", hit_of, 1},
             {"skew, busiest target over mean", skew_of, 1},
             {"control bytes/s, busiest process", control_of, 0},
@@ -207,16 +207,16 @@
 
 #define NROWS (int)(sizeof rows / sizeof rows[0])
 
-static void span(const report *r, const struct row *row, double *mean,
-                 double *most) {
+static void summarize(const report *r, const struct row *row, double *mean,
+                      double *max) {
   int n = 0;
   *mean = 0;
-  *most = 0;
+  *max = 0;
   for (int i = 0; i < r->ns; i++) {
     double v = row->get(&r->s[i]);
     *mean += v;
-    *most = v > *most ? v : *most;
-    n += v > 0 || !row->loaded;
+    *max = v > *max ? v : *max;
+    n += v > 0 || !row->skip_idle;
   }
   *mean /= n ? n : 1;
 }
@@ -228,9 +228,9 @@
   printf("%d seconds, %d processes, %d agents\n\n", r->ns, r->n, agents);
   printf("%-34s %10s %10s\n", "MEASURE", "MEAN", "MOST");
   for (int k = 0; k < NROWS; k++) {
-    double mean, most;
-    span(r, &rows[k], &mean, &most);
-    printf("%-34s %10.2f %10.2f\n", rows[k].name, mean, most);
+    double mean, max;
+    summarize(r, &rows[k], &mean, &max);
+    printf("%-34s %10.2f %10.2f\n", rows[k].name, mean, max);
   }
   printf("\n%-34s %10s\n", "WORKSPACE", "REFUSED");
   for (int i = 0; i < r->nw; i++)
@@ -258,17 +258,17 @@
 }
 
 static void draw_panel(const report *r, FILE *f, int k, int y) {
-  double mean, most;
-  span(r, &rows[k], &mean, &most);
+  double mean, max;
+  summarize(r, &rows[k], &mean, &max);
   fprintf(f,
           "<text x='10' y='%d'>%s: mean %.4g, most %.4g</text>\n"
           "<rect x='10' y='%d' width='%d' height='%d' fill='#f4f5f7'/>\n"
           "<polyline fill='none' stroke='#2a6f97' stroke-width='1.5' points='",
-          y - 6, rows[k].name, mean, most, y, PANEL_W, PANEL_H);
+          y - 6, rows[k].name, mean, max, y, PANEL_W, PANEL_H);
   for (int i = 0; i < r->ns; i++)
     fprintf(f, "%.1f,%.1f ", 10 + (i + 0.5) * PANEL_W / r->ns,
             y + PANEL_H -
-                (most > 0 ? rows[k].get(&r->s[i]) / most : 0) * (PANEL_H - 4));
+                (max > 0 ? rows[k].get(&r->s[i]) / max : 0) * (PANEL_H - 4));
   fprintf(f, "'/>\n");
 }
 
--- a/packages/cli/pwrequestscmd.c
+++ b/packages/cli/pwrequestscmd.c
@@ -1,5 +1,5 @@
-/* pwrequestscmd.c: `peatwell requests`: the requests under way at gateways, the oldest
-** first, and the targets that hold them. */
+/* pwrequestscmd.c: `peatwell requests`: the requests in flight at gateways, the oldest
+** first, and the targets that they are at. */
 #include "pwcmd.h"
 
 #include "pwjson.h"
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SHOWN_MAX 40 /* requests, and targets */
+#define SHOWN_MAX 40 /* rows of each table */
 
 typedef struct row {
   json_t *request; /* borrowed */
@@ -17,7 +17,7 @@
 
 typedef struct target {
   const char *id, *address; /* borrowed */
-  json_int_t count, oldest, quiet;
+  json_int_t count, oldest_ms, quiet_ms;
 } target;
 
 static json_int_t number(const json_t *o, const char *name) {
@@ -29,8 +29,9 @@
          (!o->target || !strcmp(o->target, pwjson_text(request, "target")));
 }
 
-/* Each gateway's answer, with its address; those that do not answer are told of. */
-static json_t *ask_all(const pw_options *o, int *missing) {
+/* Fetches each gateway's requests and adds its address; reports gateways that do not answer on
+** stderr and counts them. */
+static json_t *fetch_all(const pw_options *o, int *missing) {
   json_t *all = json_array();
   for (int i = 0; i < o->nargs; i++) {
     json_t *answer;
@@ -94,15 +95,15 @@
     i++;
   if (i == *n)
     list[(*n)++] = (target){.id = id, .address = pwjson_text(r, "address")};
-  json_int_t at = number(r, "at_target_ms"), quiet = number(r, "quiet_ms");
+  json_int_t at = number(r, "at_target_ms"), quiet_ms = number(r, "quiet_ms");
   list[i].count++;
-  list[i].oldest = at > list[i].oldest ? at : list[i].oldest;
-  list[i].quiet = quiet > list[i].quiet ? quiet : list[i].quiet;
+  list[i].oldest_ms = at > list[i].oldest_ms ? at : list[i].oldest_ms;
+  list[i].quiet_ms = quiet_ms > list[i].quiet_ms ? quiet_ms : list[i].quiet_ms;
 }
 
 static int by_quiet(const void *a, const void *b) {
   const target *x = a, *y = b;
-  return (x->quiet < y->quiet) - (x->quiet > y->quiet);
+  return (x->quiet_ms < y->quiet_ms) - (x->quiet_ms > y->quiet_ms);
 }
 
 static void print_targets(const row *rows, size_t n) {
@@ -115,8 +116,8 @@
          "OLDEST_MS", "QUIET_MS");
   for (size_t i = 0; i < count && i < SHOWN_MAX; i++)
     printf("%-22s %-21s %9lld %10lld %9lld\n", list[i].id, list[i].address,
-           (long long)list[i].count, (long long)list[i].oldest,
-           (long long)list[i].quiet);
+           (long long)list[i].count, (long long)list[i].oldest_ms,
+           (long long)list[i].quiet_ms);
   free(list);
 }
 
@@ -127,7 +128,7 @@
     pwcmd_error(PW_E_USAGE, "IP:PORT of a gateway's metrics is needed");
     return PWEXIT_USAGE;
   }
-  json_t *all = ask_all(o, &missing);
+  json_t *all = fetch_all(o, &missing);
   size_t n = fill_rows(o, all, &rows);
   if (o->json) {
     json_dumpf(all, stdout, JSON_INDENT(2));
--- a/packages/cli/pwrolloutcmd.c
+++ b/packages/cli/pwrolloutcmd.c
@@ -1,4 +1,5 @@
-/* pwrolloutcmd.c: `peatwell rollout`: a service moves to targets of another version. */
+/* pwrolloutcmd.c: `peatwell rollout`: moves a service to targets of another version,
+** or shows the state of its rollout. */
 #include "pwcmd.h"
 
 #include "pwjson.h"
@@ -10,7 +11,7 @@
 #define MESSAGE 256
 #define PATH_BYTES (PW_NAME_MAX + 64)
 
-/* NULL: it is only asked where it stands. */
+/* The body of an order; NULL when only the state is asked for. */
 static json_t *order_of(const pw_options *o) {
   if (o->nargs == 1)
     return NULL;
@@ -18,7 +19,7 @@
                    strtod(o->args[2], NULL));
 }
 
-static void print_one(const json_t *r) {
+static void print_state(const json_t *r) {
   printf("%s: to %s, %s, %.1f%% of requests\n", pwjson_text(r, "service"),
          pwjson_text(r, "version"), pwjson_text(r, "state"),
          pwjson_number(r, "share", 0) / 10);
@@ -41,7 +42,7 @@
     return pwcmd_error(rc, message);
   }
   if (!pwcmd_print_json(o, answer))
-    print_one(answer);
+    print_state(answer);
   json_decref(answer);
   return PWEXIT_OK;
 }
--- a/packages/cli/pwtime.c
+++ b/packages/cli/pwtime.c
@@ -1,4 +1,5 @@
-/* pwtime.c: `peatwell timeline`: events of all processes in one order. */
+/* pwtime.c: `peatwell timeline`: merges the events of all processes by their
+** hybrid logical clock. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -10,7 +11,7 @@
 #include <time.h>
 
 #define FOLLOW_NS 500000000L
-#define HLC_BITS 16
+#define HLC_BITS 16 /* counter below the milliseconds of a stamp */
 
 static int by_stamp(const void *a, const void *b) {
   const json_t *x = *(json_t *const *)a;
@@ -28,8 +29,8 @@
   return !o->target || !strcmp(pwjson_text(e, "target"), o->target);
 }
 
-static json_t *gather(const pw_options *o, const json_t *servers,
-                      json_int_t since) {
+static json_t *fetch_events(const pw_options *o, const json_t *servers,
+                            json_int_t since) {
   json_t *all = json_array();
   size_t i;
   json_t *s;
@@ -71,7 +72,7 @@
   printf(" %s\n", pwjson_text(e, "detail"));
 }
 
-/* Prints events in order; gives the newest stamp. */
+/* Prints events in the order of their stamps; gives the newest stamp. */
 static json_int_t print_events(const pw_options *o, json_t *events,
                                json_int_t since) {
   size_t n = json_array_size(events);
@@ -98,7 +99,7 @@
   json_t *servers = pwcmd_processes(o);
   json_int_t since = o->since ? atoll(o->since) << HLC_BITS : 0;
   for (;;) {
-    json_t *events = gather(o, servers, since);
+    json_t *events = fetch_events(o, servers, since);
     since = print_events(o, events, since);
     json_decref(events);
     if (!o->follow)
--- a/packages/cli/pwtracecmd.c
+++ b/packages/cli/pwtracecmd.c
@@ -1,5 +1,5 @@
-/* pwtracecmd.c: `peatwell trace`: one request's story from log lines, over all
-** processes, with what became known of its targets and gateways around it. */
+/* pwtracecmd.c: `peatwell trace`: prints the log lines of one request from all processes,
+** with the changes that its instances logged of themselves and its targets around that time. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -13,27 +13,27 @@
 #define NAMES_MAX 32
 #define FIELD_BYTES 128
 
-/* Lines about targets and instances count from so long before the request's
-** first line until so long after its last, s. */
+/* Seconds before the request's first line and after its last one within which
+** lines about its targets and instances are shown. */
 #define BEFORE_S 2.0
 #define AFTER_S 1.0
 
 typedef struct line {
   double ts;
-  long number; /* keeps the order of lines with one stamp */
-  char *text;  /* from "ts=" on */
+  long number; /* position in the input; orders lines of the same time */
+  char *text;  /* the line from "ts=" on */
 } line;
 
-typedef struct story {
+typedef struct trace {
   line *lines;
   size_t n, cap;
   char target[NAMES_MAX][FIELD_BYTES];
   char instance[NAMES_MAX][FIELD_BYTES];
   int ntargets, ninstances;
   double first, last;
-} story;
+} trace;
 
-/* Value of a field, "" when it is not there. */
+/* Copies the value of a field; "" when it is missing. */
 static void field(const char *text, const char *name, char *out) {
   size_t n = strlen(name);
   out[0] = 0;
@@ -63,7 +63,7 @@
   return 0;
 }
 
-static void add_line(story *s, const char *text) {
+static void add_line(trace *s, const char *text) {
   if (s->n == s->cap) {
     s->cap = s->cap ? s->cap * 2 : 1024;
     line *grown = pw_alloc(sizeof *grown * s->cap);
@@ -76,8 +76,8 @@
   s->n++;
 }
 
-/* Lines may have something before them, such as a collector's own stamp. */
-static void read_file(story *s, FILE *f) {
+/* Reads log lines; text before "ts=", such as a log collector's own stamp, is dropped. */
+static void read_file(trace *s, FILE *f) {
   char text[LINE_BYTES];
   while (fgets(text, sizeof text, f)) {
     const char *at = strstr(text, "ts=");
@@ -86,7 +86,7 @@
   }
 }
 
-static int read_files(story *s, const pw_options *o) {
+static int read_files(trace *s, const pw_options *o) {
   if (o->nargs == 1)
     read_file(s, stdin);
   for (int i = 1; i < o->nargs; i++) {
@@ -101,19 +101,19 @@
   return 0;
 }
 
-static int is_of(const char *text, const char *id) {
+static int is_of_request(const char *text, const char *id) {
   char value[FIELD_BYTES];
   field(text, "req", value);
   return !strcmp(value, id);
 }
 
-/* Finds the request's own lines: its time, targets and gateways. */
-static int find_own(story *s, const char *id) {
+/* Collects the time span, targets and instances of the request's own lines; gives their number. */
+static int find_own(trace *s, const char *id) {
   char value[FIELD_BYTES];
   int found = 0;
   for (size_t i = 0; i < s->n; i++) {
     const line *l = &s->lines[i];
-    if (!is_of(l->text, id))
+    if (!is_of_request(l->text, id))
       continue;
     if (!found || l->ts < s->first)
       s->first = l->ts;
@@ -128,8 +128,9 @@
   return found;
 }
 
-/* A change of what its processes believe: of its targets, or of themselves. */
-static int is_around(story *s, const line *l) {
+/* Whether a line of no request, close in time, comes from one of the request's instances and is
+** about that instance or one of the request's targets. */
+static int is_around(trace *s, const line *l) {
   char value[FIELD_BYTES];
   if (l->ts < s->first - BEFORE_S || l->ts > s->last + AFTER_S)
     return 0;
@@ -151,11 +152,11 @@
   return (x->number > y->number) - (x->number < y->number);
 }
 
-static void print(story *s, const char *id) {
+static void print(trace *s, const char *id) {
   char instance[FIELD_BYTES];
   for (size_t i = 0; i < s->n; i++) {
     const line *l = &s->lines[i];
-    int own = is_of(l->text, id);
+    int own = is_of_request(l->text, id);
     if (!own && !is_around(s, l))
       continue;
     field(l->text, "inst", instance);
@@ -166,7 +167,7 @@
 }
 
 int pwcmd_trace(pw_options *o) {
-  story s = {0};
+  trace s = {0};
   if (o->nargs < 1) {
     pwcmd_error(PW_E_USAGE, "trace ID [LOG...]");
     return PWEXIT_USAGE;
@@ -174,8 +175,8 @@
   int code = read_files(&s, o) == 0 ? PWEXIT_OK : PWEXIT_INPUT;
   if (code == PWEXIT_OK && find_own(&s, o->args[0]) == 0) {
     fprintf(stderr,
-            "peatwell: no line of request %s; lines that were left out are "
-            "counted by ev=left-out\n",
+            "peatwell: no line of request %s; dropped lines are counted by "
+            "ev=left-out\n",
             o->args[0]);
     code = PWEXIT_FAILED;
   }
