--- a/Makefile
+++ b/Makefile
@@ -67,10 +67,10 @@
 	@echo "  LD $@"
 	@$(CXX) $(LDFLAGS) -o $@ $(filter %.o,$^) $(ALL_LIB) -largtable2 $(LDLIBS)
 
-# The daemon with a clock that scenarios set ahead, as a suspension does.
+# The daemon with a clock that scenarios set ahead, as a suspended host does.
 $(BUILD)/peatwelld-skewed: $(BUILD)/tests/fakes/skewed_clock.o
 
-# The daemon with a disk that hangs for a while.
+# The daemon with a disk whose syncs hang for a while.
 $(BUILD)/peatwelld-hanging: $(BUILD)/tests/fakes/hanging_disk.o
 
 $(BUILD)/peatwell: $(BUILD)/packages/cli/peatwell.o $(ALL_LIB)
@@ -98,32 +98,32 @@
 	@echo "  LD $@"
 	@$(CXX) $(LDFLAGS) -o $@ $^ $(LDLIBS)
 
-# The decisions against naive versions; the same result each run.
+# Routing and admission decisions against naive policies; the same result each run.
 bench-policy: $(BUILD)/bench_policy
 	$(BUILD)/bench_policy all docs/results.svg
 
-# Load curves of gateways before model engines; the same result each run.
+# Load curves of gateways in front of model engines; the same result each run.
 bench-overload: $(BUILD)/bench_overload
 	$(BUILD)/bench_overload docs/overload.svg docs/overload-large.svg
 
-# What a request costs a gateway as the targets grow.
+# Cost of a request at a gateway by the number of targets.
 bench-pick: $(BUILD)/bench_pick
 	$(BUILD)/bench_pick
 
-# The path against a direct call to the stand-in engine.
+# Latency and throughput through peatwell against direct calls to the fake engine.
 bench-path: all $(FAKES) $(RUNNER) $(BUILD)/bench_path
 	$(RUNNER) --bin $(BUILD) bench/path.lua
 
-# The control group: changes, claims, failover, cost of each role.
+# The control group: changes, claims, failover, resource use of each role.
 bench-control: all $(FAKES) $(RUNNER)
 	$(RUNNER) --bin $(BUILD) bench/control.lua
 
-# The once-ledger at its limit: time, memory, snapshot.
+# The once-ledger at its size limit: time of a claim, memory, snapshot.
 bench-ledger: $(BUILD)/bench_ledger
 	$(BUILD)/bench_ledger
 
-# The same with 152 processes of peatwell and 141 stand-ins; then all of them
-# restarted under load, and a tenth killed.
+# bench-control with 152 processes of peatwell and 141 fakes; then all of them
+# restarted under load, and a tenth of the targets killed.
 bench-fleet-many: all $(FAKES) $(RUNNER)
 	PW_ENTRIES=8 PW_ENGINES=140 $(RUNNER) --bin $(BUILD) bench/control.lua
 	PW_ENTRIES=8 PW_ENGINES=140 $(RUNNER) --bin $(BUILD) bench/fleet.lua
@@ -142,12 +142,12 @@
 check: all $(FAKES) $(RUNNER) $(TESTS)
 	@tools/run-tests $(BUILD)
 
-# Deliberate faults, one at a time, that the tests must catch.
+# Compiles in deliberate faults, one at a time, that the tests must catch.
 mutations:
 	@mkdir -p $(BUILD)
 	@tools/run-mutations $(BUILD) $(CC) $(CPPFLAGS) $(CFLAGS) -- -lcunit $(LDLIBS)
 
-# The measured numbers that docs/CAPACITY.md and docs/RESULTS.md use.
+# Writes the measured figures that docs/CAPACITY.md and docs/RESULTS.md quote.
 capacity: all $(FAKES) $(RUNNER) $(BUILD)/bench_path $(BUILD)/bench_policy $(BUILD)/bench_ledger
 	PW_ENTRIES=4 PW_ENGINES=20 $(RUNNER) --bin $(BUILD) bench/control.lua >docs/measured/control-28.md
 	PW_ENTRIES=8 PW_ENGINES=140 $(RUNNER) --bin $(BUILD) bench/control.lua >docs/measured/control-152.md
@@ -156,7 +156,7 @@
 	$(BUILD)/bench_ledger >docs/measured/ledger.md
 	$(BUILD)/bench_policy all docs/results.svg >docs/measured/policy.md
 
-# Outside bytes into the parsers, with a fixed seed, bounded.
+# Fuzzes the parsers of outside input, with a fixed seed and number of runs.
 FUZZ_SOURCES = tests/fuzz/fuzz_parsers.c packages/wire/peatwell.pb-c.c packages/wire/pwpb.c \
   $(wildcard packages/store/*.c packages/consensus/*.c packages/core/*.c) \
   $(addprefix packages/policy/,pwcache.c pwchat.c pwquarantine.c) packages/daemon/pwsuspects.c packages/agent/pwkvfeed.c packages/http/pwfetch.c \
@@ -173,24 +173,25 @@
 	  { tail -40 $(BUILD)/fuzz.log; exit 1; }
 	@tail -3 $(BUILD)/fuzz.log
 
-# Every scenario again and again, for TIMES rounds.
+# Runs all scenarios TIMES times, until one fails.
 TIMES ?= 20
 rounds: all $(FAKES) $(RUNNER)
 	@for i in $$(seq $(TIMES)); do tools/run-tests $(BUILD) scenarios || exit 1; done
 
-# Faults from outside the real programs, drawn by a seed, while callers ask.
+# Injects random faults, drawn from SEED, into a fleet of real programs under load.
 SEED ?= 1
 MINUTES ?= 0.5
 PROCESSES ?= 14
 soak: all $(FAKES) $(RUNNER)
 	SEED=$(SEED) MINUTES=$(MINUTES) PROCESSES=$(PROCESSES) $(RUNNER) --bin $(BUILD) tests/soak.lua
 
-# The seeds that failed once, beside each other.
+# Soak runs, four at once, of the seeds that failed before.
 soak-seeds: all $(FAKES) $(RUNNER)
 	@sed -n 's/^\([0-9][0-9]*\) .*/\1/p' tests/soak-seeds.txt | xargs -P 4 -I{} \
 	  sh -c 'SEED={} MINUTES=$(MINUTES) PROCESSES=$(PROCESSES) $(RUNNER) --bin $(BUILD) tests/soak.lua'
 
-# Pauses past the limits of the product, beside each other: seeds that failed once, and one of each kind.
+# Scenarios with pauses longer than peatwell tolerates, four at once: seeds that failed before, and one
+# of each kind.
 pauses: all $(FAKES) $(RUNNER)
 	@sed '/^#/d' tests/pause-seeds.txt | cut -d' ' -f1-3 | xargs -P 4 -L 1 \
 	  sh -c '$(RUNNER) --bin $(BUILD) --hold-most "$$2" --disturb "$$1" "tests/scenarios/$$0.lua"'
@@ -213,7 +214,7 @@
 	install -D -m 644 systemd/peatwelld@.service \
 	  $(DESTDIR)$(PREFIX)/lib/systemd/system/peatwelld@.service
 
-# A Debian package of the same.
+# A Debian package of the installed files.
 deb: all
 	@tools/make-deb $(BUILD)
 
--- a/tools/day-table.lua
+++ b/tools/day-table.lua
@@ -1,13 +1,13 @@
--- day-table: what a played day says of each role and of the times until something is everywhere, as
--- rows for docs/design/fleet.md and docs/CAPACITY.md.
+-- day-table: prints the load of each role and the propagation times of a simulated day as table rows for
+-- docs/design/fleet.md and docs/CAPACITY.md.
 --   REPORT=day.json build/pwscenario --bin build tools/day-table.lua
--- The report is that of one day (`--report`): of each role the middle and the busiest instance.
+-- REPORT is the file that a day writes with `--report`; of each role it has the middle and the busiest instance.
 local path = assert(os.getenv("REPORT"), "REPORT names the report of a day")
 local f = assert(io.open(path))
 local day = run.json(f:read("a"))
 f:close()
 
--- In the order in which the report has them, as a sweep prints them.
+-- Row titles in the order of the report's figures; a sweep prints the same titles.
 local ROWS = {"processor, % of its share", "memory at its peak, MB", "KB a second", "wake-ups a second", "connections",
   "new connections a second", "syncs a second"}
 local roles = {}
