--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -1,5 +1,5 @@
-/* bench_ledger.c: the once-ledger filled to its limit: time of a claim, memory,
-** and what a snapshot of it takes. */
+/* bench_ledger.c: fills the once-ledger to its limit; prints the time of a claim,
+** the memory used, and the size and time of a snapshot. */
 #include "pwbuf.h"
 #include "pwclock.h"
 #include "pwcons.h"
@@ -27,14 +27,14 @@
   return (double)pages * (double)sysconf(_SC_PAGESIZE) / MB;
 }
 
-static double most_mb(void) {
+static double peak_mb(void) {
   struct rusage r;
   getrusage(RUSAGE_SELF, &r);
   return (double)r.ru_maxrss / 1024.0;
 }
 
-/* One request: claimed, run, recorded. */
-static void once(pw_state *s, unsigned i) {
+/* Applies the claim and the record of one request. */
+static void apply_request(pw_state *s, unsigned i) {
   char id[32];
   char key[32];
   uint8_t digest[32] = {(uint8_t)i, (uint8_t)(i >> 8)};
@@ -70,7 +70,7 @@
   return (double)(pwclock_ns() - ns) / 1e6;
 }
 
-/* A first, empty snapshot, then one of the whole ledger, as the leader does. */
+/* Saves a snapshot of the whole ledger in a new store, as the leader does, and loads it. */
 static void snapshot(const pw_state *s) {
   char dir[] = "/tmp/peatwell-ledger-XXXXXX";
   pw_store *store = NULL;
@@ -92,7 +92,7 @@
          "ms (%s) |\n",
          (double)snap.state.len / MB, save, ms_since(at), pwcode_name(rc));
   printf("| memory with it / most | %.0f / %.0f MB |\n", resident_mb(),
-         most_mb());
+         peak_mb());
   pw_state *copy = pwstate_new();
   at = pwclock_ns();
   rc = pwstate_load(copy, snap.state.data, snap.state.len);
@@ -116,7 +116,7 @@
   double before = resident_mb();
   int64_t at = pwclock_ns();
   for (unsigned i = 0; i < PW_ONCE_MAX; i++)
-    once(s, i);
+    apply_request(s, i);
   double ms = ms_since(at);
   printf("| once-ledger | figure |\n| --- | --- |\n");
   printf("| claims, of them with their answer | %zu, %zu |\n",
--- a/bench/bench_overload.c
+++ b/bench/bench_overload.c
@@ -1,10 +1,10 @@
-/* bench_overload.c: load curves of several gateways before model engines, with the very
-** decisions of gateways (pwpick, pwplaces, pwshare) and with simpler ones; of a small site and
-** of a large one, whose hundred gateways see each other's loads late.
+/* bench_overload.c: load curves of several gateways in front of model engines, with the
+** decision code of gateways (pwpick, pwplaces, pwshare) and with simpler policies; for a small
+** site and for a large one, whose hundred gateways learn each other's loads late.
 **
-** The engines are a model: a batch of slots whose tokens come slower the more run, a
-** prompt that is read in chunks between them, parts of prompts kept, the oldest given up
-** first. Callers come back once. The same output for the same seed; no clock is read. */
+** An engine is simulated as a batch of slots that generates tokens the slower the more
+** requests run, reads prompts in chunks in between, and caches shared parts of prompts with
+** LRU eviction. Callers retry once. The same seed gives the same output; no clock is read. */
 #include "pwbuf.h"
 #include "pwpick.h"
 #include "pwplaces.h"
@@ -16,7 +16,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TARGETS 180 /* room for the large site */
+#define TARGETS 180 /* as many as the large site has */
 #define SLOTS 48
 #define QUEUE 144
 #define GATEWAYS 103
@@ -24,12 +24,11 @@
 #define KINDS 3
 
 #define FIRST_MS 47
-#define CHUNK                                                                  \
-  2048.0          /* tokens of a prompt that are read between others' tokens */
-#define MOVE_MS 4 /* to take a prompt over from another engine */
+#define CHUNK 2048.0 /* prompt tokens read between two generated tokens */
+#define MOVE_MS 4    /* to copy a cached prompt from another engine */
 
-/* The day: calm, the burst, calm; ms. What is counted begins when the burst has
-** settled. */
+/* The simulated period in ms: usual load, a burst, usual load. Requests count from
+** COUNT_FROM on, when the burst has reached its steady state. */
 #define BURST_FROM 3000
 #define COUNT_FROM 5000
 #define JOBS_MAX 400000
@@ -41,19 +40,19 @@
   double shared, own, out; /* tokens */
 } kind;
 
-/* A site: engines, gateways, and what is asked. */
+/* A site: engines, gateways, and the requests that arrive. */
 typedef struct shape {
   const char *name;
   int targets, slots;
-  int queue; /* that an engine takes beyond its slots */
+  int queue; /* requests that an engine queues beyond its slots */
   int gateways;
-  int tell_ms;                  /* how late gateways see each other's loads */
-  int tell_all_ms;              /* the same where each tells each */
-  int prompts;                  /* shared parts of each kind */
-  double step_ms, step_slot_ms; /* a token, and more for each that runs */
-  double read_per_ms, kept_tokens; /* tokens of prompts: read, and kept */
-  int burst_ms, day_ms, seeds;
-  double callers; /* of a gateway on average, if they differ; 0: all alike */
+  int update_ms;     /* interval of load updates through aggregators */
+  int update_all_ms; /* the same where each gateway sends to each */
+  int prompts;       /* shared prompt parts of each kind */
+  double step_ms, step_slot_ms;     /* a token, and more per running request */
+  double read_per_ms, cache_tokens; /* prompt tokens read per ms; cache size */
+  int burst_ms, end_ms, seeds;
+  double callers; /* mean per gateway, drawn at random; 0: the same for all */
   kind kinds[KINDS];
 } shape;
 
@@ -64,15 +63,15 @@
      .slots = 48,
      .queue = 144,
      .gateways = 4,
-     .tell_ms = 100,
-     .tell_all_ms = 100,
+     .update_ms = 100,
+     .update_all_ms = 100,
      .prompts = 100,
      .step_ms = 3.2,
      .step_slot_ms = 0.05,
      .read_per_ms = 112,
-     .kept_tokens = 400000,
+     .cache_tokens = 400000,
      .burst_ms = 14000,
-     .day_ms = 24000,
+     .end_ms = 24000,
      .seeds = 3,
      .kinds = {{"chat", 59, 2.1, 0.62, 0, 300, 10000, 700, 130, 290},
                {"review", 42, 4.3, 1.3, 1, 600, 12000, 10500, 1300, 380},
@@ -82,14 +81,14 @@
      .slots = 12,
      .queue = 36,
      .gateways = 103,
-     .tell_ms = 150,
-     .tell_all_ms = 816,
+     .update_ms = 150,
+     .update_all_ms = 816,
      .prompts = 850,
      .step_ms = 2.2,
      .read_per_ms = 140,
-     .kept_tokens = 444000,
+     .cache_tokens = 444000,
      .burst_ms = 6000,
-     .day_ms = 11000,
+     .end_ms = 11000,
      .seeds = 1,
      .callers = 3.6,
      .kinds = {{"chat", 377, 2.3, 0.69, 0, 400, 8000, 700, 130, 290},
@@ -98,12 +97,12 @@
 };
 
 typedef enum policy {
-  CHOSEN,   /* a place at once or a refusal at once, as gateways do */
-  NO_PARTS, /* the same without parts of the places, loads told each to each */
-  AT_TARGETS, /* a prompt's home while it has a slot, else the shortest queue */
-  LIMIT, /* a free slot anywhere, else refused; nobody waits, none is preferred */
-  RANDOM,      /* the same, and refused at random the fuller the engines are */
-  ALL_KNOWING, /* as chosen, by one gateway that sees every load as it is */
+  CHOSEN,    /* as gateways do: a slot or a refusal at once */
+  NO_SHARES, /* as CHOSEN, without shares of the slots; each gateway sends its load to each */
+  AT_TARGETS, /* a prompt's home target while it has a slot, else the shortest queue */
+  LIMIT,  /* any free slot, else a refusal; no queue, no preferred target */
+  RANDOM, /* as LIMIT, with random refusals, more the fuller the engines are */
+  ORACLE, /* as CHOSEN, with one gateway that sees every load at once */
   POLICIES
 } policy;
 
@@ -119,35 +118,36 @@
 typedef struct job {
   int kind, prompt, gateway, target;
   job_state state;
-  int first_asked, come_back_at, left_at; /* ms */
+  int arrived_at, retry_at, deadline_at; /* ms */
   int tries;
   double to_read, to_make;
-  int first_at; /* ms of its first piece; -1: none yet */
+  int first_at; /* ms of its first token; -1: none yet */
 } job;
 
 typedef struct engine {
   job *running[SLOTS], *queue[QUEUE];
   int nrunning, nqueue;
-  int used[KINDS][PROMPTS]; /* ms of its last use here; -1: not kept */
+  int used[KINDS][PROMPTS]; /* ms of its last use here; -1: not cached */
 } engine;
 
 typedef struct gateway {
-  pw_places places;
+  pw_places shed;
   pw_share share;
-  double others_rate; /* requests a second, as told */
-  double callers;     /* of the gateways up to this one */
+  double others_rate; /* requests per second at the others, as last reported */
+  double callers;     /* cumulated over the gateways up to this one */
   int inflight[TARGETS], others[TARGETS];
-  int own, of_others; /* sums of these */
+  int own, others_total; /* sums of inflight and of others */
 } gateway;
 
 typedef struct figures {
-  double asked, in_goal, late, refused, failed, credit, owed, moved, read_again;
-  double kind_credit[KINDS], kind_owed[KINDS];
+  double requests, in_goal, late, refused, failed, credit, possible, moved,
+      recomputed;
+  double kind_credit[KINDS], kind_possible[KINDS];
 } figures;
 
 typedef struct world {
   const shape *s;
-  policy how;
+  policy pol;
   double load;
   uint64_t seed, draws;
   int now, ngateways;
@@ -158,22 +158,22 @@
   figures f;
 } world;
 
-static double draw(world *w) {
+static double random_unit(world *w) {
   uint64_t in[2] = {w->seed, ++w->draws};
   return (double)(XXH3_64bits(in, sizeof in) >> 11) / 9007199254740992.0;
 }
 
-/* --- what becomes of requests --- */
+/* --- results of requests --- */
 
-static int counts(const world *w, const job *j) {
-  return j->first_asked >= COUNT_FROM &&
-         j->first_asked < BURST_FROM + w->s->burst_ms;
+static int is_counted(const world *w, const job *j) {
+  return j->arrived_at >= COUNT_FROM &&
+         j->arrived_at < BURST_FROM + w->s->burst_ms;
 }
 
 static void end_job(world *w, job *j, double credit) {
   const kind *k = &w->s->kinds[j->kind];
   j->state = DONE;
-  if (!counts(w, j))
+  if (!is_counted(w, j))
     return;
   w->f.credit += credit;
   w->f.kind_credit[j->kind] += credit / k->worth;
@@ -181,8 +181,8 @@
 
 static void answered(world *w, job *j) {
   const kind *k = &w->s->kinds[j->kind];
-  int in_goal = j->first_at - j->first_asked <= k->goal_ms;
-  if (counts(w, j)) {
+  int in_goal = j->first_at - j->arrived_at <= k->goal_ms;
+  if (is_counted(w, j)) {
     w->f.in_goal += in_goal;
     w->f.late += !in_goal;
   }
@@ -191,36 +191,36 @@
 
 static void refused(world *w, job *j, int retry_ms) {
   const kind *k = &w->s->kinds[j->kind];
-  int left = j->first_asked + k->deadline_ms - w->now;
+  int left = j->arrived_at + k->deadline_ms - w->now;
   if (j->tries < 2 && retry_ms < left) {
     j->state = IDLE;
-    j->come_back_at = w->now + retry_ms;
+    j->retry_at = w->now + retry_ms;
     return;
   }
-  if (counts(w, j))
+  if (is_counted(w, j))
     w->f.refused++;
   end_job(w, j, 0);
 }
 
 static void failed(world *w, job *j) {
-  if (counts(w, j))
+  if (is_counted(w, j))
     w->f.failed++;
   end_job(w, j, 0);
 }
 
 /* --- engines --- */
 
-static int keeps(const engine *e, int kind_of, int prompt) {
+static int caches(const engine *e, int kind_of, int prompt) {
   return e->used[kind_of][prompt] >= 0;
 }
 
-static void make_room(const shape *s, engine *e) {
+static void evict(const shape *s, engine *e) {
   for (;;) {
     double sum = 0;
     int at_kind = 0, at_prompt = -1;
     for (int k = 0; k < KINDS; k++)
       for (int p = 0; p < s->prompts; p++) {
-        if (!keeps(e, k, p))
+        if (!caches(e, k, p))
           continue;
         sum += s->kinds[k].shared;
         if (at_prompt < 0 || e->used[k][p] < e->used[at_kind][at_prompt]) {
@@ -228,15 +228,15 @@
           at_prompt = p;
         }
       }
-    if (sum <= s->kept_tokens)
+    if (sum <= s->cache_tokens)
       return;
     e->used[at_kind][at_prompt] = -1;
   }
 }
 
-static int is_kept_elsewhere(const world *w, const job *j) {
+static int is_cached_elsewhere(const world *w, const job *j) {
   for (int i = 0; i < w->s->targets; i++)
-    if (i != j->target && keeps(&w->engine[i], j->kind, j->prompt))
+    if (i != j->target && caches(&w->engine[i], j->kind, j->prompt))
       return 1;
   return 0;
 }
@@ -245,20 +245,20 @@
   const kind *k = &w->s->kinds[j->kind];
   j->state = RUNS;
   j->to_read = k->own + FIRST_MS * w->s->read_per_ms / 10;
-  if (!keeps(e, j->kind, j->prompt)) {
-    int moves = is_kept_elsewhere(w, j);
+  if (!caches(e, j->kind, j->prompt)) {
+    int moves = is_cached_elsewhere(w, j);
     j->to_read += moves ? MOVE_MS * w->s->read_per_ms : k->shared;
     w->f.moved += moves * k->shared / 1000;
-    w->f.read_again += !moves * k->shared / 1000;
+    w->f.recomputed += !moves * k->shared / 1000;
   }
-  int fresh = !keeps(e, j->kind, j->prompt);
+  int fresh = !caches(e, j->kind, j->prompt);
   e->used[j->kind][j->prompt] = w->now;
   if (fresh)
-    make_room(w->s, e);
+    evict(w->s, e);
   e->running[e->nrunning++] = j;
 }
 
-static void leave_target(world *w, job *j) {
+static void release_slot(world *w, job *j) {
   w->gateway[j->gateway].inflight[j->target]--;
   w->gateway[j->gateway].own--;
 }
@@ -267,11 +267,11 @@
   int n = 0;
   for (int i = 0; i < e->nqueue; i++) {
     job *j = e->queue[i];
-    if (w->now < j->left_at) {
+    if (w->now < j->deadline_at) {
       e->queue[n++] = j;
       continue;
     }
-    leave_target(w, j);
+    release_slot(w, j);
     failed(w, j);
   }
   e->nqueue = n;
@@ -285,7 +285,7 @@
   memmove(e->queue, e->queue + taken, sizeof(job *) * (size_t)e->nqueue);
 }
 
-/* One ms: the first that still reads does so in chunks, the others make tokens. */
+/* Simulates 1 ms: one request reads its prompt in chunks while the others generate tokens. */
 static void run_ms(world *w, engine *e) {
   double step = w->s->step_ms + w->s->step_slot_ms * e->nrunning;
   double chunk_ms = CHUNK / w->s->read_per_ms;
@@ -293,22 +293,22 @@
   for (int i = 0; !reader && i < e->nrunning; i++)
     if (e->running[i]->to_read > 0)
       reader = e->running[i];
-  double turn = reader ? step + chunk_ms : step;
+  double token_ms = reader ? step + chunk_ms : step;
   if (reader)
-    reader->to_read -= CHUNK / turn;
+    reader->to_read -= CHUNK / token_ms;
   int n = 0;
   for (int i = 0; i < e->nrunning; i++) {
     job *j = e->running[i];
     if (j->to_read <= 0) {
       if (j->first_at < 0)
         j->first_at = w->now;
-      j->to_make -= 1 / turn;
+      j->to_make -= 1 / token_ms;
     }
-    if (j->to_make > 0 && w->now < j->left_at) {
+    if (j->to_make > 0 && w->now < j->deadline_at) {
       e->running[n++] = j;
       continue;
     }
-    leave_target(w, j);
+    release_slot(w, j);
     if (j->to_make <= 0)
       answered(w, j);
     else
@@ -335,8 +335,8 @@
                        .is_alive = 1};
 }
 
-static int chooses_places(const world *w) {
-  return w->how == CHOSEN || w->how == NO_PARTS || w->how == ALL_KNOWING;
+static int uses_classes(const world *w) {
+  return w->pol == CHOSEN || w->pol == NO_SHARES || w->pol == ORACLE;
 }
 
 /* The target for a request, or -1. */
@@ -345,15 +345,15 @@
   static const pw_pick_bound boundless = {1e9, 1e9, 0, 0};
   pw_pick row[TARGETS];
   fill_rows(w, g, reserve, row);
-  if (chooses_places(w))
+  if (uses_classes(w))
     return pwpick_home(row, w->s->targets, key_of(j), bound);
-  double wait_ms = w->how == AT_TARGETS ? 1e9 : 0;
-  int best = w->how == AT_TARGETS
+  double wait_ms = w->pol == AT_TARGETS ? 1e9 : 0;
+  int best = w->pol == AT_TARGETS
                  ? pwpick_home(row, w->s->targets, key_of(j), bound)
                  : -1;
-  return best >= 0
-             ? best
-             : pwpick_least(row, w->s->targets, wait_ms, draw(w), boundless);
+  return best >= 0 ? best
+                   : pwpick_least(row, w->s->targets, wait_ms, random_unit(w),
+                                  boundless);
 }
 
 static void send(world *w, gateway *g, job *j, int target) {
@@ -370,26 +370,25 @@
 }
 
 static int is_last(const world *w, const job *j) {
-  return j->tries > 1 || w->now - j->first_asked > w->s->kinds[j->kind].goal_ms;
+  return j->tries > 1 || w->now - j->arrived_at > w->s->kinds[j->kind].goal_ms;
 }
 
-/* Whether a gateway has its part of the places already. */
-static int is_at_its_part(world *w, const gateway *g, double kept) {
+/* Whether a gateway already uses its share of the slots. */
+static int uses_its_share(world *w, const gateway *g, double kept) {
   double mine = pwshare_rate(&g->share, w->now);
-  double places =
+  double slots =
       pwshare_places(mine, mine + g->others_rate, w->s->targets * w->s->slots,
-                     g->own + g->of_others, kept);
-  return g->own + draw(w) > places;
+                     g->own + g->others_total, kept);
+  return g->own + random_unit(w) > slots;
 }
 
-static int try_place(world *w, gateway *g, job *j) {
+static int try_dispatch(world *w, gateway *g, job *j) {
   int urgency = w->s->kinds[j->kind].urgency;
-  double reserve = chooses_places(w)
-                       ? pwplaces_reserve(&g->places, urgency, is_last(w, j))
-                       : 0;
-  if (w->how == CHOSEN && is_at_its_part(w, g, reserve))
+  double reserve =
+      uses_classes(w) ? pwplaces_reserve(&g->shed, urgency, is_last(w, j)) : 0;
+  if (w->pol == CHOSEN && uses_its_share(w, g, reserve))
     return 0;
-  int target = pick(w, g, j, w->how == CHOSEN ? 0 : reserve);
+  int target = pick(w, g, j, w->pol == CHOSEN ? 0 : reserve);
   if (target < 0)
     return 0;
   send(w, g, j, target);
@@ -397,39 +396,39 @@
 }
 
 static double fullness(const world *w, const gateway *g) {
-  return (double)(g->own + g->of_others) / (w->s->targets * w->s->slots);
+  return (double)(g->own + g->others_total) / (w->s->targets * w->s->slots);
 }
 
-static void ask(world *w, job *j) {
+static void admit(world *w, job *j) {
   gateway *g = &w->gateway[j->gateway];
   int urgency = w->s->kinds[j->kind].urgency;
   j->tries++;
   pwshare_asked(&g->share, w->now);
-  if (w->how == RANDOM && draw(w) < 2 * (fullness(w, g) - 0.5)) {
-    refused(w, j, 100 + (int)(700 * draw(w)));
+  if (w->pol == RANDOM && random_unit(w) < 2 * (fullness(w, g) - 0.5)) {
+    refused(w, j, 100 + (int)(700 * random_unit(w)));
     return;
   }
-  int placed = try_place(w, g, j);
-  if (chooses_places(w))
-    pwplaces_asked(&g->places, urgency, is_last(w, j), placed, w->now);
-  if (placed)
+  int dispatched = try_dispatch(w, g, j);
+  if (uses_classes(w))
+    pwplaces_asked(&g->shed, urgency, is_last(w, j), dispatched, w->now);
+  if (dispatched)
     return;
-  int retry = chooses_places(w)
-                  ? (int)pwplaces_retry(j->left_at - w->now, 0, draw(w))
-                  : 100 + (int)(700 * draw(w));
+  int retry = uses_classes(w) ? (int)pwplaces_retry(j->deadline_at - w->now, 0,
+                                                    random_unit(w))
+                              : 100 + (int)(700 * random_unit(w));
   refused(w, j, retry);
 }
 
-/* --- time --- */
+/* --- simulation --- */
 
 static double load_at(const world *w) {
   int in_burst = w->now >= BURST_FROM && w->now < BURST_FROM + w->s->burst_ms;
   return in_burst ? w->load : 1;
 }
 
-/* A gateway, by its callers. */
+/* Draws a gateway at random, weighted by its callers. */
 static int draw_gateway(world *w) {
-  double who = draw(w) * w->gateway[w->ngateways - 1].callers;
+  double who = random_unit(w) * w->gateway[w->ngateways - 1].callers;
   int g = 0;
   while (w->gateway[g].callers < who)
     g++;
@@ -441,57 +440,58 @@
   if (w->njobs == JOBS_MAX)
     abort();
   job *j = &w->job[w->njobs++];
-  double size = exp(0.6 * (draw(w) + draw(w) + draw(w) - 1.5));
+  double size =
+      exp(0.6 * (random_unit(w) + random_unit(w) + random_unit(w) - 1.5));
   *j = (job){.kind = kind_of,
-             .prompt = (int)(draw(w) * w->s->prompts),
+             .prompt = (int)(random_unit(w) * w->s->prompts),
              .gateway = draw_gateway(w),
-             .first_asked = w->now,
-             .left_at = w->now + k->deadline_ms,
+             .arrived_at = w->now,
+             .deadline_at = w->now + k->deadline_ms,
              .to_make = k->out * size,
              .first_at = -1};
-  if (counts(w, j)) {
-    w->f.asked++;
-    w->f.owed += k->worth;
-    w->f.kind_owed[kind_of]++;
+  if (is_counted(w, j)) {
+    w->f.requests++;
+    w->f.possible += k->worth;
+    w->f.kind_possible[kind_of]++;
   }
-  ask(w, j);
+  admit(w, j);
 }
 
 static void arrivals(world *w) {
   for (int k = 0; k < KINDS; k++) {
     double due = w->s->kinds[k].per_s * load_at(w) / 1000;
     while (due > 0) {
-      if (draw(w) < due)
+      if (random_unit(w) < due)
         new_job(w, k);
       due -= 1;
     }
   }
 }
 
-/* Callers who come back. */
-static void due_jobs(world *w) {
+/* Retries of callers whose wait is over; requests older than 12 s are past every deadline. */
+static void retry_jobs(world *w) {
   int oldest = w->now - 12000;
-  for (int i = w->njobs - 1; i >= 0 && w->job[i].first_asked >= oldest; i--) {
+  for (int i = w->njobs - 1; i >= 0 && w->job[i].arrived_at >= oldest; i--) {
     job *j = &w->job[i];
-    if (j->state != IDLE || j->come_back_at > w->now)
+    if (j->state != IDLE || j->retry_at > w->now)
       continue;
-    ask(w, j);
+    admit(w, j);
   }
 }
 
-static int tell_every(const world *w) {
-  if (w->how == ALL_KNOWING)
+static int update_interval(const world *w) {
+  if (w->pol == ORACLE)
     return 1;
-  return w->how == CHOSEN ? w->s->tell_ms : w->s->tell_all_ms;
+  return w->pol == CHOSEN ? w->s->update_ms : w->s->update_all_ms;
 }
 
-static void tell_loads(world *w) {
+static void exchange_loads(world *w) {
   double rate = 0;
-  if (w->now % tell_every(w))
+  if (w->now % update_interval(w))
     return;
   for (int g = 0; g < w->ngateways; g++) {
     rate += pwshare_rate(&w->gateway[g].share, w->now);
-    w->gateway[g].of_others = 0;
+    w->gateway[g].others_total = 0;
   }
   for (int g = 0; g < w->ngateways; g++)
     w->gateway[g].others_rate =
@@ -502,15 +502,15 @@
       sum += w->gateway[g].inflight[i];
     for (int g = 0; g < w->ngateways; g++) {
       w->gateway[g].others[i] = sum - w->gateway[g].inflight[i];
-      w->gateway[g].of_others += w->gateway[g].others[i];
+      w->gateway[g].others_total += w->gateway[g].others[i];
     }
   }
 }
 
-static void play_ms(world *w) {
-  tell_loads(w);
+static void simulate_ms(world *w) {
+  exchange_loads(w);
   arrivals(w);
-  due_jobs(w);
+  retry_jobs(w);
   for (int i = 0; i < w->s->targets; i++) {
     drop_queued(w, &w->engine[i]);
     fill_slots(w, &w->engine[i]);
@@ -518,37 +518,38 @@
   }
 }
 
-/* How many callers a gateway has: by lot, about s->callers. */
+/* Draws a gateway's number of callers, Poisson distributed with mean s->callers. */
 static int draw_callers(world *w) {
-  double least = exp(-w->s->callers), product = draw(w);
+  double least = exp(-w->s->callers), product = random_unit(w);
   int n = 0;
   for (; product > least; n++)
-    product *= draw(w);
+    product *= random_unit(w);
   return n;
 }
 
-static void begin_gateways(world *w) {
+static void init_gateways(world *w) {
   double callers = 0;
   for (int g = 0; g < w->ngateways; g++) {
     callers += w->s->callers > 0 ? draw_callers(w) + 0.1 : 1;
     w->gateway[g].callers = callers;
-    pwplaces_init(&w->gateway[g].places, 0);
+    pwplaces_init(&w->gateway[g].shed, 0);
   }
 }
 
-static figures play(const shape *s, policy how, double load, uint64_t seed) {
+static figures simulate(const shape *s, policy pol, double load,
+                        uint64_t seed) {
   world *w = pw_alloc(sizeof *w);
   w->job = pw_alloc(sizeof *w->job * JOBS_MAX);
   w->s = s;
-  w->how = how;
+  w->pol = pol;
   w->load = load;
   w->seed = seed;
-  w->ngateways = how == ALL_KNOWING ? 1 : s->gateways;
+  w->ngateways = pol == ORACLE ? 1 : s->gateways;
   for (int i = 0; i < s->targets; i++)
     memset(w->engine[i].used, 0xff, sizeof w->engine[i].used);
-  begin_gateways(w);
-  for (w->now = 0; w->now < s->day_ms; w->now++)
-    play_ms(w);
+  init_gateways(w);
+  for (w->now = 0; w->now < s->end_ms; w->now++)
+    simulate_ms(w);
   figures f = w->f;
   free(w->job);
   free(w);
@@ -567,18 +568,18 @@
     a[i] += b[i] / seeds;
 }
 
-static void print_row(const shape *sh, policy how, double load,
+static void print_row(const shape *sh, policy pol, double load,
                       const figures *f) {
   double s = (BURST_FROM + sh->burst_ms - COUNT_FROM) / 1000.0;
   printf("| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |",
-         policy_names[how], load, f->asked / s, f->in_goal / s, f->late / s,
-         f->refused / s, f->failed / s, f->credit / f->owed);
+         policy_names[pol], load, f->requests / s, f->in_goal / s, f->late / s,
+         f->refused / s, f->failed / s, f->credit / f->possible);
   for (int k = 0; k < KINDS; k++)
-    printf(" %.2f", f->kind_credit[k] / f->kind_owed[k]);
-  printf(" | %.0f | %.0f |\n", f->moved, f->read_again);
+    printf(" %.2f", f->kind_credit[k] / f->kind_possible[k]);
+  printf(" | %.0f | %.0f |\n", f->moved, f->recomputed);
 }
 
-/* `scale`: credit a second of one dot. */
+/* Writes the curves as SVG; `scale` is the credit per second of one pixel. */
 static void plot(const char *path, double credit[POLICIES][LOADS],
                  double scale) {
   static const char *const colours[POLICIES] = {"#1b6", "#c3c", "#c33",
@@ -607,7 +608,7 @@
   fclose(f);
 }
 
-static void play_shape(const shape *sh, double credit[POLICIES][LOADS]) {
+static void run_shape(const shape *sh, double credit[POLICIES][LOADS]) {
   printf("## %s: %d gateways, %d engines of %d slots, seeds 1 to %d\n\n",
          sh->name, sh->gateways, sh->targets, sh->slots, sh->seeds);
   printf(
@@ -618,7 +619,7 @@
     for (int i = 0; i < LOADS; i++) {
       figures mean = {0};
       for (int seed = 1; seed <= sh->seeds; seed++) {
-        figures f = play(sh, (policy)p, loads[i], (uint64_t)seed);
+        figures f = simulate(sh, (policy)p, loads[i], (uint64_t)seed);
         add(&mean, &f, sh->seeds);
       }
       print_row(sh, (policy)p, loads[i], &mean);
@@ -631,7 +632,7 @@
 int main(int argc, char **argv) {
   double credit[SHAPES][POLICIES][LOADS];
   for (int i = 0; i < SHAPES; i++)
-    play_shape(&shapes[i], credit[i]);
+    run_shape(&shapes[i], credit[i]);
   if (argc > 1)
     plot(argv[1], credit[0], 4);
   if (argc > 2)
--- a/bench/bench_path.c
+++ b/bench/bench_path.c
@@ -1,5 +1,6 @@
-/* bench_path.c: what the path adds to a direct call: first byte, time between
-** tokens, requests a second. Talks to a running fleet; see bench/path.lua. */
+/* bench_path.c: sends streaming requests to a URL and measures the time to the
+** first byte, the time between tokens and requests per second. bench/path.lua runs
+** it against a fleet and against an engine, to show what peatwell adds. */
 #include "pwbuf.h"
 #include "pwclock.h"
 #include "pwfetch.h"
@@ -16,7 +17,7 @@
   const char *url, *key;
   int streams, requests, tokens;
   pthread_mutex_t lock;
-  int next, bad;
+  int next, failed;
   double *first;
   int nfirst;
   float *gap;
@@ -44,7 +45,7 @@
   return 0;
 }
 
-static void one(run *r, int id) {
+static void run_request(run *r, int id) {
   char body[256], chat[32], bearer[128], request[48];
   snprintf(body, sizeof body,
            "{\"model\": \"register\", \"stream\": true, \"max_tokens\": %d, "
@@ -72,7 +73,7 @@
   pw_code rc = pwfetch(&f, &sent);
   if (rc != PW_OK || !a.done) {
     pthread_mutex_lock(&r->lock);
-    r->bad++;
+    r->failed++;
     pthread_mutex_unlock(&r->lock);
   }
 }
@@ -85,7 +86,7 @@
     pthread_mutex_unlock(&r->lock);
     if (id < 0)
       return NULL;
-    one(r, id);
+    run_request(r, id);
   }
 }
 
@@ -99,7 +100,7 @@
   return (x > y) - (x < y);
 }
 
-/* Prints "streams requests/s first50 first99 gap50 gap99 bad". */
+/* Prints "streams requests/s first50 first99 gap50 gap99 failed". */
 int main(int argc, char **argv) {
   if (argc < 6) {
     fprintf(stderr, "usage: bench_path URL KEY STREAMS REQUESTS TOKENS\n");
@@ -125,6 +126,7 @@
   qsort(r.gap, (size_t)r.ngap, sizeof *r.gap, by_float);
   printf("%d %.1f %.2f %.2f %.2f %.2f %d\n", r.streams, r.requests / s,
          r.first[r.nfirst / 2], r.first[(int)(r.nfirst * 0.99)],
-         (double)r.gap[r.ngap / 2], (double)r.gap[(int)(r.ngap * 0.99)], r.bad);
-  return r.bad != 0;
+         (double)r.gap[r.ngap / 2], (double)r.gap[(int)(r.ngap * 0.99)],
+         r.failed);
+  return r.failed != 0;
 }
--- a/bench/bench_pick.c
+++ b/bench/bench_pick.c
@@ -1,5 +1,5 @@
-/* bench_pick.c: what one request costs a gateway as the targets of its service grow: the sum of
-** their places, and the pick of one by its prompt's home. Prints microseconds a request. */
+/* bench_pick.c: time of one request's decisions at a gateway by the number of targets: the sum
+** of their slots and the pick of the prompt's home target. Prints microseconds per request. */
 #include "pwclock.h"
 #include "pwfleet.h"
 
@@ -25,17 +25,17 @@
 
 static double us_a_request(int n) {
   pw_fleet *f = fleet_of(n);
-  int64_t begun = pwclock_ns();
+  int64_t start_ns = pwclock_ns();
   for (int i = 0; i < REQUESTS; i++) {
-    pw_fleet_ask ask = {.service = "llm",
-                        .is_sticky = 1,
-                        .key = (uint64_t)i + 1,
-                        .bound = {1.6, 2.6, 1.9, 3}};
-    pwfleet_sum(f, ask.service, PWFLEET_BOTH, 10);
-    pw_fleet_picked p = pwfleet_pick(f, &ask, 10);
+    pw_fleet_ask criteria = {.service = "llm",
+                             .is_sticky = 1,
+                             .key = (uint64_t)i + 1,
+                             .bound = {1.6, 2.6, 1.9, 3}};
+    pwfleet_sum(f, criteria.service, PWFLEET_BOTH, 10);
+    pw_fleet_picked p = pwfleet_pick(f, &criteria, 10);
     pwfleet_drop(p.target);
   }
-  double us = (double)(pwclock_ns() - begun) / NS_PER_US / REQUESTS;
+  double us = (double)(pwclock_ns() - start_ns) / NS_PER_US / REQUESTS;
   pwfleet_free(f);
   return us;
 }
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -1,9 +1,9 @@
-/* bench_policy.c: the decisions on a made-up day, against naive versions.
+/* bench_policy.c: routing and admission decisions on a synthetic load, against naive policies.
 **
 ** A discrete-event model with the code that entries and agents run (pwplace,
 ** pwroute, pwadmit, pwchat, pwbound). Engines prefill and decode at fixed
-** rates, batch, and keep prompt prefixes in a cache of limited size. Seeded:
-** the same output each run. */
+** rates, batch, and keep prompt prefixes in a cache of limited size. The seed
+** is fixed, so the output is the same each run. */
 #include "pwadmit.h"
 #include "pwbuf.h"
 #include "pwcache.h"
@@ -26,19 +26,19 @@
 #define CACHE_TOKENS 400000 /* prefix cache of an engine */
 #define PREFILL 8000.0      /* prompt tokens a second */
 #define STREAM 30.0         /* output tokens a second of one stream */
-#define RATE 2000.0         /* load an engine can finish a second */
+#define RATE 2000.0         /* load that an engine finishes per second */
 #define REPORT_MS 250
 #define DEADLINE_MS 60000
 #define FLOOR 3000.0
 #define MARGIN_EVENTS 0.9
 #define EVENTS_HELD 4096
 #define EVENTS_LATE_MS 1000
-#define EVENTS_LOST 0.02 /* share of the answers with events that lack one */
-#define IMPORT 40000.0   /* prompt tokens a second taken over from another */
+#define EVENTS_LOST 0.02 /* share of event batches that lack one event */
+#define IMPORT 40000.0   /* prompt tokens a second copied from another engine */
 
 typedef enum policy {
   P_PEATWELL,
-  P_MOVES,  /* the same, engines take over each other's KV cache */
+  P_MOVES,  /* the same, and engines copy each other's KV cache */
   P_EVENTS, /* the same, and engines publish cache events */
   P_ROUND_ROBIN,
   P_RANDOM,
@@ -46,7 +46,7 @@
   P_TWO_CHOICES,
   P_STICKY,
   P_BOUNDED,
-  P_ALL_KNOWING,
+  P_ORACLE,
   P_COUNT
 } policy;
 
@@ -64,14 +64,14 @@
 typedef struct workload {
   const char *name;
   int targets, zones, chats;
-  double per_s; /* requests a second when quiet */
+  double per_s; /* requests a second outside of bursts */
   double burst; /* factor in bursts */
   int burst_every_ms, burst_ms;
   int turns_max, tokens_per_turn, output;
-  double returning; /* share of requests that are of a known chat */
-  double big_share; /* share of requests of the two large workspaces */
+  double returning; /* share of requests that continue a known chat */
+  double big_share; /* share of requests from the two large workspaces */
   int seconds;
-  double churn; /* share of the targets that change a minute */
+  double churn; /* share of the targets that leave or flap per minute */
 } workload;
 
 typedef struct chat {
@@ -89,19 +89,19 @@
 typedef struct job {
   int chat, workspace, entry, target;
   int prompt, cached, expected, output;
-  double prefill; /* prompt tokens still to compute */
-  double left;    /* output tokens still to give */
-  double cost;    /* counted by the agent */
+  double prefill; /* prompt tokens left to compute */
+  double left;    /* output tokens left to generate */
+  double cost;    /* load that the agent still counts for it */
   int64_t arrived, started;
   int running;
   pw_route_walk walk;
-  struct engine *holder; /* of the prefix, and full */
-  struct engine *from;   /* it is taken over from */
-  int offered;           /* tokens of it */
+  struct engine *holder; /* has the prefix cached but refused as busy */
+  struct engine *from;   /* engine to copy the prefix from, or NULL */
+  int offered;           /* tokens of the prefix at the holder */
   struct job *next;
 } job;
 
-/* Cache events of an engine that were not told yet. */
+/* Cache events of an engine that its agent has not received yet. */
 typedef struct event_log {
   pw_cache_event e[EVENTS_HELD];
   size_t n;
@@ -125,9 +125,9 @@
   double pending[ENTRIES];
   job *run[SLOTS];
   int nrun;
-  int queued_plain; /* naive policies queue without end */
+  int queued_plain; /* naive policies queue without a limit */
   job *first, *last;
-  double load; /* true tokens in progress */
+  double load; /* actual load in progress, tokens */
 } engine;
 
 typedef struct result {
@@ -174,7 +174,7 @@
   snprintf(out, 24, "c%d", id);
 }
 
-static void tell_event(engine *e, int id, int tokens, int64_t now) {
+static void log_event(engine *e, int id, int tokens, int64_t now) {
   if (!e->events)
     return;
   event_log *l = e->events;
@@ -188,7 +188,7 @@
 }
 
 static void cache_drop(engine *e, cached *c, int64_t now) {
-  tell_event(e, c->chat, 0, now);
+  log_event(e, c->chat, 0, now);
   e->cache_used -= c->tokens;
   HASH_DEL(e->cache, c);
   free(c);
@@ -200,7 +200,7 @@
   return c ? c->tokens : 0;
 }
 
-/* uthash keeps order of adding: the first is the least recently used. */
+/* uthash keeps insertion order, so the first entry is the least recently used. */
 static int cache_use(engine *e, int id, int tokens, int64_t now) {
   cached *c;
   int hit = 0;
@@ -216,7 +216,7 @@
   c->tokens = tokens;
   e->cache_used += tokens;
   HASH_ADD_INT(e->cache, chat, c);
-  tell_event(e, id, tokens, now);
+  log_event(e, id, tokens, now);
   while (e->cache_used > CACHE_TOKENS && e->cache != c)
     cache_drop(e, e->cache, now);
   return hit;
@@ -229,8 +229,8 @@
   }
 }
 
-/* All that the engine holds. */
-static void tell_all(engine *e, int64_t now) {
+/* Sends the agent a snapshot of the engine's cache. */
+static void send_snapshot(engine *e, int64_t now) {
   size_t n = 0;
   pw_cache_event *list = pw_alloc(sizeof *list * (HASH_COUNT(e->cache) + 1));
   for (const cached *c = e->cache; c; c = c->hh.next) {
@@ -238,25 +238,25 @@
     list[n].at = now;
     chat_name(c->chat, list[n++].chat);
   }
-  pw_cache_news news = {.epoch = 1,
-                        .newest = e->events->newest,
-                        .is_picture = 1,
-                        .at = now,
-                        .event = list,
-                        .n = n};
-  pwcache_news(&e->known, &news);
+  pw_cache_news update = {.epoch = 1,
+                          .newest = e->events->newest,
+                          .is_picture = 1,
+                          .at = now,
+                          .event = list,
+                          .n = n};
+  pwcache_news(&e->known, &update);
   e->events->n = 0;
   free(list);
 }
 
 /* --- running --- */
 
-static int is_ours(const world *w) {
+static int is_peatwell(const world *w) {
   return w->p <= P_EVENTS;
 }
 
-/* Events reach the agent late, and now and then one is missing. */
-static void hear_events(world *w, engine *e) {
+/* Delivers events to the agent late, and sometimes loses one; the agent then gets a snapshot. */
+static void deliver_events(world *w, engine *e) {
   event_log *l = e->events;
   size_t n = 0;
   while (n < l->n && l->e[n].at + EVENTS_LATE_MS <= w->now)
@@ -264,20 +264,20 @@
   if (!n)
     return;
   size_t skip = unit(w) < EVENTS_LOST;
-  pw_cache_news news = {.epoch = 1,
-                        .newest = l->e[n - 1].number,
-                        .event = l->e + skip,
-                        .n = n - skip};
-  int whole = pwcache_news(&e->known, &news);
+  pw_cache_news update = {.epoch = 1,
+                          .newest = l->e[n - 1].number,
+                          .event = l->e + skip,
+                          .n = n - skip};
+  int complete = pwcache_news(&e->known, &update);
   l->n -= n;
   memmove(l->e, l->e + n, sizeof *l->e * l->n);
-  if (!whole)
-    tell_all(e, w->now);
+  if (!complete)
+    send_snapshot(e, w->now);
 }
 
 static void note_wait(world *w, const job *j) {
   if (j->workspace < 2)
-    return; /* the large ones */
+    return; /* one of the two large workspaces */
   if (w->r.nquiet == w->r.cap) {
     w->r.cap = w->r.cap ? w->r.cap * 2 : 4096;
     w->r.quiet_wait =
@@ -309,11 +309,11 @@
   w->r.hit += j->cached;
   note_wait(w, j);
   chat_name(j->chat, name);
-  if (is_ours(w)) {
+  if (is_peatwell(w)) {
     double more = PWBOUND_PROMPT_WEIGHT * (j->expected - j->cached);
     pwcache_seen(&e->known, name, (uint32_t)j->prompt, (uint32_t)j->cached,
                  (uint32_t)j->expected, w->now);
-    if (more > 0) { /* told by the answer's head: it has more to compute */
+    if (more > 0) { /* the answer's head reports more to compute */
       pwload_add(&e->admit.load, more, w->now);
       j->cost += more;
     }
@@ -331,14 +331,14 @@
 static void end_job(world *w, engine *e, int i) {
   job *j = e->run[i];
   e->run[i] = e->run[--e->nrun];
-  if (is_ours(w))
+  if (is_peatwell(w))
     pwadmit_end(&e->admit, j->cost, w->now);
   w->r.done++;
   free(j);
 }
 
 static void start_waiting(world *w, engine *e) {
-  if (is_ours(w)) {
+  if (is_peatwell(w)) {
     job *j;
     while ((j = pwadmit_next(&e->admit, view_of, e, w->now)) != NULL)
       start_job(w, e, j);
@@ -354,10 +354,10 @@
   }
 }
 
-/* Work done on a request, and off the load. */
+/* Takes finished work off the load of an engine and of its agent. */
 static void progress(world *w, engine *e, job *j, double load) {
   e->load -= load;
-  if (!is_ours(w))
+  if (!is_peatwell(w))
     return;
   if (load > j->cost)
     load = j->cost;
@@ -390,11 +390,12 @@
   start_waiting(w, e);
 }
 
-/* --- choosing --- */
+/* --- dispatch --- */
 
 static int get_route(void *arg, uint64_t id, pw_route_target *out) {
   world *w = arg;
-  for (int i = (int)(id >> 32); i < w->n; i++) { /* the index is in the id */
+  /* The upper half of an id is the index. */
+  for (int i = (int)(id >> 32); i < w->n; i++) {
     engine *e = &w->e[i];
     if (e->id != id)
       return 0;
@@ -426,7 +427,7 @@
   return s;
 }
 
-static void point_home(world *w, const job *j, const engine *at) {
+static void put_pointer_at_home(world *w, const job *j, const engine *at) {
   char name[24], where[24];
   engine *home = by_id(w, pwplace_rank(w->place, j->walk.key, 0));
   if (!home || home == at || !home->up)
@@ -437,8 +438,8 @@
   w->r.control_bytes += 90;
 }
 
-/* One try at one agent: 1 taken, 0 refused. */
-static int ask_agent(world *w, job *j, engine *e, const pw_route_pick *pick) {
+/* Tries one agent; gives 1 if it accepted the request, 0 if it refused. */
+static int try_agent(world *w, job *j, engine *e, const pw_route_pick *pick) {
   char name[24], where[PW_NAME_MAX];
   chat_name(j->chat, name);
   uint32_t known = pwcache_expect(&e->known, name, w->now);
@@ -484,11 +485,11 @@
   e->pending[j->entry] += j->cost;
   if (a.verdict == PW_ADMIT_START)
     start_job(w, e, j);
-  point_home(w, j, e);
+  put_pointer_at_home(w, j, e);
   return 1;
 }
 
-static void place_peatwell(world *w, job *j) {
+static void dispatch_peatwell(world *w, job *j) {
   char name[24];
   chat_name(j->chat, name);
   j->walk = (pw_route_walk){
@@ -507,7 +508,7 @@
     engine *e = by_id(w, pick.id);
     if (!e)
       break;
-    if (ask_agent(w, j, e, &pick))
+    if (try_agent(w, j, e, &pick))
       return;
   }
   w->r.refused++;
@@ -557,12 +558,13 @@
   return random_up(w);
 }
 
-/* Knows every cache and every load: the longest prefix among those within the
-** bound, else the least loaded. An upper bound, not a system. */
-static engine *all_knowing(world *w, const job *j) {
+/* Sees every cache and every load: picks the longest cached prefix among the
+** engines within the bound, else the least loaded. No real router can do this;
+** it gives an upper bound. */
+static engine *oracle(world *w, const job *j) {
   engine *best = NULL;
   double mean = 0;
-  int up = 0, most = 0;
+  int up = 0, max = 0;
   for (int i = 0; i < w->n; i++) {
     up += w->e[i].up;
     mean += w->e[i].up ? w->e[i].load : 0;
@@ -574,15 +576,15 @@
     double after =
         e->load + PWBOUND_PROMPT_WEIGHT * (j->prompt - have) + j->output;
     int fits = after <= PWBOUND_BOUND * mean || after <= FLOOR || e->load <= 0;
-    if (have > most && fits) {
-      most = have;
+    if (have > max && fits) {
+      max = have;
       best = e;
     }
   }
   return best ? best : least(w, 0, 0);
 }
 
-static void place_naive(world *w, job *j) {
+static void dispatch_naive(world *w, job *j) {
   engine *e = NULL;
   int64_t t = pwclock_ns();
   switch (w->p) {
@@ -605,8 +607,8 @@
   case P_BOUNDED:
     e = sticky(w, j, 1);
     break;
-  case P_ALL_KNOWING:
-    e = all_knowing(w, j);
+  case P_ORACLE:
+    e = oracle(w, j);
     break;
   default:
     e = random_up(w);
@@ -627,11 +629,11 @@
   e->queued_plain++;
 }
 
-/* --- the day --- */
+/* --- simulation --- */
 
 static int pick_chat(world *w, int workspace) {
   if (w->nchats > WORKSPACES && unit(w) < w->w.returning) {
-    /* Recent chats come back more often than old ones. */
+    /* Recent chats return more often than old ones. */
     double u = unit(w);
     int back = (int)(u * u * w->nchats);
     int c = w->nchats - 1 - back;
@@ -656,10 +658,10 @@
   j->output = w->w.output / 2 + (int)(random_bits(w) % (uint64_t)w->w.output);
   j->arrived = w->now;
   w->r.requests++;
-  if (is_ours(w))
-    place_peatwell(w, j);
+  if (is_peatwell(w))
+    dispatch_peatwell(w, j);
   else
-    place_naive(w, j);
+    dispatch_naive(w, j);
   if (c->turns < w->w.turns_max)
     c->turns++;
 }
@@ -667,7 +669,7 @@
 static void empty_engine(world *w, engine *e) {
   while (e->nrun) {
     job *j = e->run[--e->nrun];
-    if (is_ours(w))
+    if (is_peatwell(w))
       pwadmit_end(&e->admit, j->cost, w->now);
     free(j);
   }
@@ -682,8 +684,8 @@
   cache_clear(e, w->now);
 }
 
-/* A target goes, with its cache, and comes back empty after a while; every
-** second one only flaps and keeps it. */
+/* Takes targets down at random: half of them lose their cache and return empty
+** after 15 s, the others only flap and keep it. */
 static void churn(world *w, int ms) {
   double p = w->w.churn * w->n * ms / 60000.0;
   if (unit(w) < p) {
@@ -706,37 +708,38 @@
   for (int i = 0; i < w->n; i++) {
     engine *e = &w->e[i];
     for (int k = 0; k < ENTRIES; k++) {
-      double tokens = is_ours(w) ? pwload_now(&e->admit.load, w->now) : e->load;
+      double tokens =
+          is_peatwell(w) ? pwload_now(&e->admit.load, w->now) : e->load;
       e->report[k] = (pw_report){tokens, e->admit.load.rate, w->now};
       e->pending[k] = 0;
     }
   }
   for (int i = 0; i < w->n; i++)
     if (w->e[i].events)
-      hear_events(w, &w->e[i]);
+      deliver_events(w, &w->e[i]);
   for (int i = 0; i < w->n; i++) {
     w->e[i].view = sum_of(w, i % ENTRIES);
-    w->e[i].view.at -= REPORT_MS; /* as old as the Hello it answers */
+    w->e[i].view.at -= REPORT_MS; /* as old as the Hello that it answers */
   }
-  /* Each agent's Hello and Welcome, and each entry's rows to its peers. */
+  /* Bytes of each agent's Hello and Welcome, and of each entry's rows to its peers. */
   w->r.control_bytes +=
       w->n * 330.0 + (ENTRIES - 1) * (ENTRIES * 80 + w->n * 70.0) / 2;
 }
 
 static void measure(world *w) {
-  double most = 0, sum = 0;
+  double max = 0, sum = 0;
   int up = 0;
   for (int i = 0; i < w->n; i++) {
     if (!w->e[i].up)
       continue;
     up++;
     sum += w->e[i].load;
-    most = w->e[i].load > most ? w->e[i].load : most;
+    max = w->e[i].load > max ? w->e[i].load : max;
   }
   double mean = sum / up;
   if (mean < FLOOR / 3)
-    return; /* near idle: the floor rules */
-  double skew = most / mean;
+    return; /* near idle, where the load floor decides */
+  double skew = max / mean;
   double floor_skew = FLOOR / mean;
   double bound = floor_skew > PWBOUND_BOUND ? floor_skew : PWBOUND_BOUND;
   w->r.skew_n++;
@@ -750,7 +753,7 @@
   return (x > y) - (x < y);
 }
 
-/* Where caches move and events tell of them, starts use more of the way. */
+/* With cache events, starts may use more of the way from the mean load to the bound. */
 static pw_bound bound_of(const world *w) {
   pw_bound b = PWBOUND_DEFAULT;
   b.floor = FLOOR;
@@ -774,7 +777,7 @@
     pwmove_init(&e->move, w->p == P_MOVES || w->p == P_EVENTS);
     e->events = w->p == P_EVENTS ? pw_alloc(sizeof *e->events) : NULL;
     if (e->events)
-      tell_all(e, 0);
+      send_snapshot(e, 0);
     e->pointers = pwchat_new(PW_POINTERS_MAX, PW_POINTER_KEEP_MS);
     pwadmit_init(&e->admit, SLOTS, 256, RATE, 0);
     e->admit.bound = bound_of(w);
@@ -803,7 +806,7 @@
 static void simulate(world *w) {
   const int ms = 5;
   build(w);
-  double owed = 0;
+  double arrivals = 0;
   while (w->now < w->w.seconds * 1000LL) {
     w->now += ms;
     if (w->w.churn > 0)
@@ -818,9 +821,9 @@
     }
     int burst =
         w->w.burst_every_ms && w->now % w->w.burst_every_ms < w->w.burst_ms;
-    owed += w->w.per_s * (burst ? w->w.burst : 1) * ms / 1000;
-    int due = (int)owed;
-    owed -= due;
+    arrivals += w->w.per_s * (burst ? w->w.burst : 1) * ms / 1000;
+    int due = (int)arrivals;
+    arrivals -= due;
     while (due-- > 0)
       arrive(w);
     for (int i = 0; i < w->n; i++)
@@ -846,11 +849,11 @@
          r->skew_peak, r->skew_n ? r->skew_sum / r->skew_n : 0,
          r->skew_n ? 100 * r->over_bound / r->skew_n : 0,
          100.0 * (double)r->refused / (double)r->requests, p95, last,
-         is_ours(w) ? r->control_bytes / w->w.seconds / ENTRIES : 0);
+         is_peatwell(w) ? r->control_bytes / w->w.seconds / ENTRIES : 0);
   fflush(stdout);
 }
 
-/* --- a picture --- */
+/* --- charts --- */
 
 typedef struct bar {
   char workload[64];
@@ -861,7 +864,7 @@
 static bar bars[64];
 static int nbars;
 
-static void keep_bar(const world *w, double p99_wait) {
+static void add_bar(const world *w, double p99_wait) {
   bar *b = &bars[nbars++];
   pw_copy(b->workload, sizeof b->workload, w->w.name);
   b->p = w->p;
@@ -871,7 +874,7 @@
 }
 
 static void draw_panel(FILE *f, int x, int y, const char *title,
-                       const char *name, int what, double most) {
+                       const char *name, int what, double max) {
   fprintf(f, "<text x='%d' y='%d' font-weight='bold'>%s</text>\n", x, y - 8,
           title);
   int row = 0;
@@ -881,14 +884,14 @@
     double v = what == 0   ? bars[i].hit
                : what == 1 ? bars[i].skew
                            : bars[i].wait;
-    double width = v / most * 150;
+    double width = v / max * 150;
     fprintf(f,
             "<rect x='%d' y='%d' width='%.1f' height='13' fill='%s'/>"
             "<text x='%d' y='%d'>%s %.4g</text>\n",
             x, y + row * 17, width > 150 ? 150 : width,
-            bars[i].p <= P_EVENTS        ? "#2a6f97"
-            : bars[i].p == P_ALL_KNOWING ? "#8ab17d"
-                                         : "#c9ced6",
+            bars[i].p <= P_EVENTS   ? "#2a6f97"
+            : bars[i].p == P_ORACLE ? "#8ab17d"
+                                    : "#c9ced6",
             x + 4, y + row * 17 + 11, policy_names[bars[i].p], v);
     row++;
   }
@@ -931,7 +934,7 @@
     w->seed = 7;
     simulate(w);
     print_row(w);
-    keep_bar(w, p99(w->r.quiet_wait, w->r.nquiet));
+    add_bar(w, p99(w->r.quiet_wait, w->r.nquiet));
     free(w->r.quiet_wait);
     free(w);
   }
--- a/bench/control.lua
+++ b/bench/control.lua
@@ -1,6 +1,6 @@
--- control.lua: the control group measured: changes, claims, failover, restart,
--- bytes, memory and processor time of each role. Arguments by environment:
--- PW_ENTRIES, PW_ENGINES.
+-- control.lua: measures the control group: changes, claims, failover, restart,
+-- and traffic, memory and processor time of each role. The environment variables
+-- PW_ENTRIES and PW_ENGINES set the size of the fleet.
 local fleet = require("fleet")
 local entries, engines = tonumber(os.getenv("PW_ENTRIES") or 2), tonumber(os.getenv("PW_ENGINES") or 4)
 local f = fleet.new{control = 3, entries = entries, engines = engines, services = 1,
@@ -45,7 +45,7 @@
   end
 end
 
--- Changes one after another, and until they are in force everywhere.
+-- Times changes, one after another, until accepted and until in force in a sample of the entries.
 local accepted, everywhere = {}, {}
 for i = 1, 40 do
   local at = run.now()
--- a/bench/fleet.lua
+++ b/bench/fleet.lua
@@ -1,6 +1,6 @@
--- fleet.lua: a fleet of up to 300 processes under load: all restarted in turn, a
--- tenth killed at once, an availability zone cut off from control and back.
--- PW_ENTRIES, PW_ENGINES by environment.
+-- fleet.lua: a fleet of up to 300 processes under load: all are restarted in turn, a
+-- tenth of the targets is killed at once, and all control instances freeze and continue.
+-- The environment variables PW_ENTRIES and PW_ENGINES set the size of the fleet.
 local fleet = require("fleet")
 local entries, engines = tonumber(os.getenv("PW_ENTRIES") or 8), tonumber(os.getenv("PW_ENGINES") or 140)
 local f = fleet.new{control = 3, entries = entries, engines = engines, agent = "slots = 16", engine_args = {4, 200},
@@ -32,7 +32,7 @@
     tally.broken = tally.broken + 1
   end
 end
--- Keeps `width` requests in flight while `step` is run again and again.
+-- Keeps `width` requests in flight and runs `step` in each of `steps` rounds.
 local function under_load(width, steps, step)
   local calls = {}
   for i = 1, steps do
@@ -108,7 +108,8 @@
 under_load(48, 10)
 show("the tenth back again", at)
 
--- No control instance answers: past stale_ms all refuse, with proof; then go on.
+-- While no control instance answers, entries refuse requests after stale_ms, with proof that
+-- they were not run; afterwards they serve again.
 for _, c in ipairs(f.control) do c:pause() end
 fleet.eventually("entries refuse", function() return f.entries[1]:get("/health/ready").status == 503 end)
 at = run.now()
--- a/bench/path.lua
+++ b/bench/path.lua
@@ -1,4 +1,5 @@
--- path.lua: the path's added time against a direct call to the engine.
+-- path.lua: compares requests through peatwell with direct calls to the engine: time to the first
+-- byte, time between tokens, requests per second.
 local fleet = require("fleet")
 local f = fleet.new{entries = 1, engines = 1, engine_args = {5, 1000}, entry = "threads = 4",
   agent = "slots = 600\ndecode_tokens_per_s = 100000", policy = "floor_tokens = 1000000"}
