--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -65,7 +65,7 @@
   const char *name;
   int targets, zones, chats;
   double per_s; /* requests a second outside of bursts */
-  double burst; /* factor in bursts */
+  double burst; /* factor on per_s in bursts */
   int burst_every_ms, burst_ms;
   int turns_max, tokens_per_turn, output;
   double returning; /* share of requests that continue a known chat */
@@ -155,7 +155,7 @@
   int nchats;
   int rr;
   result r;
-  int entry; /* whose view get_route gives */
+  int entry; /* whose view of the loads get_route gives */
   double limit;
 } world;
 
@@ -180,7 +180,7 @@
   event_log *l = e->events;
   l->newest++;
   if (l->n == EVENTS_HELD)
-    return; /* a gap */
+    return; /* the log is full; the agent sees a gap */
   pw_cache_event *v = &l->e[l->n++];
   *v = (pw_cache_event){
       .number = l->newest, .tokens = (uint32_t)tokens, .at = now};
--- a/bench/fleet.lua
+++ b/bench/fleet.lua
@@ -12,23 +12,23 @@
 
 local n, down = 0, {}
 local tally
-local function begin() tally = {whole = 0, refused = 0, broken = 0, unknown = 0, slow = 0} end
-local function ask()
+local function reset_tally() tally = {complete = 0, refused = 0, broken = 0, unknown = 0, slow = 0} end
+local function send_request()
   n = n + 1
   local entry
   repeat
     entry = f.entries[math.random(#f.entries)]
   until not down[entry]
   local o = {entry = entry, chat = "c" .. n % 5000, text = "turn " .. n, stream = n % 2 == 0, max_tokens = 20}
-  return {o = o, h = run.http_start(f:chat(o))}
+  return {request = o, handle = run.http_start(f:chat(o))}
 end
-local function note(c)
-  local r = run.http_wait(c.h)
-  if fleet.is_answer(r, c.o) then tally.whole = tally.whole + 1
+local function record_result(c)
+  local r = run.http_wait(c.handle)
+  if fleet.is_answer(r, c.request) then tally.complete = tally.complete + 1
   elseif r["Peatwell-Outcome"] == "not-run" then tally.refused = tally.refused + 1
   elseif r["Peatwell-Outcome"] == "unknown" then tally.unknown = tally.unknown + 1
   else
-    assert(not (r.whole and r.status == 200), "a wrong answer looks whole")
+    assert(not (r.whole and r.status == 200), "a wrong answer looks complete")
     tally.broken = tally.broken + 1
   end
 end
@@ -36,14 +36,14 @@
 local function under_load(width, steps, step)
   local calls = {}
   for i = 1, steps do
-    while #calls < width do calls[#calls + 1] = ask() end
+    while #calls < width do calls[#calls + 1] = send_request() end
     if step then step(i) end
-    for _ = 1, math.floor(width / 2) do note(table.remove(calls, 1)) end
+    for _ = 1, math.floor(width / 2) do record_result(table.remove(calls, 1)) end
   end
-  while #calls > 0 do note(table.remove(calls, 1)) end
+  while #calls > 0 do record_result(table.remove(calls, 1)) end
 end
 local function show(what, at)
-  print(string.format("| %s | %.1f | %d | %d | %d | %d |", what, (run.now() - at) / 1000, tally.whole, tally.refused,
+  print(string.format("| %s | %.1f | %d | %d | %d | %d |", what, (run.now() - at) / 1000, tally.complete, tally.refused,
     tally.unknown, tally.broken))
 end
 local function restart(list)
@@ -62,20 +62,20 @@
 print("| what | s | whole | refused, not-run | unknown | broken off |")
 print("| --- | --- | --- | --- | --- | --- |")
 local at = run.now()
-begin()
+reset_tally()
 under_load(48, 20)
 show("quiet", at)
 at = run.now()
-begin()
+reset_tally()
 local size = math.ceil(engines / 20)
 under_load(48, math.ceil(engines / size), function(i) restart(batch(f.agents, i, size)) end)
 show("all agents restarted, 5 % at a time", at)
 at = run.now()
-begin()
+reset_tally()
 under_load(48, entries, function(i) restart{f.entries[i]} end)
 show("all entries restarted in turn", at)
 at = run.now()
-begin()
+reset_tally()
 under_load(48, 3, function(i)
   f.control[i]:stop()
   f.control[i]:start()
@@ -84,7 +84,7 @@
 show("all control instances restarted in turn", at)
 
 at = run.now()
-begin()
+reset_tally()
 local killed = math.ceil(engines / 10)
 under_load(48, 20, function(i)
   if i ~= 2 then return end
@@ -95,7 +95,7 @@
 end)
 show("a tenth of the targets killed at once", at)
 at = run.now()
-begin()
+reset_tally()
 under_load(48, 10)
 show("after it", at)
 for k = 1, killed do
@@ -104,7 +104,7 @@
 end
 for k = 1, killed do f:wait_ready(f.agents[k]) end
 at = run.now()
-begin()
+reset_tally()
 under_load(48, 10)
 show("the tenth back again", at)
 
@@ -113,14 +113,14 @@
 for _, c in ipairs(f.control) do c:pause() end
 fleet.eventually("entries refuse", function() return f.entries[1]:get("/health/ready").status == 503 end)
 at = run.now()
-begin()
+reset_tally()
 under_load(48, 4)
 show("all control instances frozen", at)
 for _, c in ipairs(f.control) do c:continue() end
 for _, e in ipairs(f.entries) do f:wait_ready(e) end
 for _, a in ipairs(f.agents) do f:wait_ready(a) end
 at = run.now()
-begin()
+reset_tally()
 under_load(48, 20)
 show("and back", at)
 f:stop()
