--- a/packages/http/pwfetch.c
+++ b/packages/http/pwfetch.c
@@ -1,4 +1,4 @@
-/* pwfetch.c: HTTP client side, over neon. */
+/* pwfetch.c: HTTP client, built on neon. */
 #include "pwfetch.h"
 
 #include <ne_request.h>
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BLOCK 16384
+#define READ_BYTES 16384  /* bytes of one read */
 #define CONNECT_TIMEOUT 2 /* s */
 
 struct pw_fetch_head {
@@ -34,7 +34,7 @@
   }
 }
 
-/* Marks that the connection is up, so bytes may go out from here on. */
+/* Sets *sent once the connection is established, since bytes may be sent from then on. */
 static void on_status(void *arg, ne_session_status status,
                       const ne_session_status_info *info) {
   (void)info;
@@ -42,7 +42,7 @@
     *(int *)arg = 1;
 }
 
-/* Trusts the certificate of a file, or the system's own authorities. */
+/* Trusts the certificate in a file, or without a file the system's authorities. */
 static void trust(ne_session *s, const char *ca) {
   ne_ssl_certificate *cert = ca ? ne_ssl_cert_read(ca) : NULL;
   if (cert) {
@@ -78,10 +78,10 @@
   const ne_status *st = ne_get_status(req);
   if (f->on_head && f->on_head(f->arg, st->code, &head) != 0)
     return PW_E_CUT;
-  char *block = pw_alloc(BLOCK);
+  char *block = pw_alloc(READ_BYTES);
   pw_code rc = PW_OK;
   ssize_t n;
-  while ((n = ne_read_response_block(req, block, BLOCK)) > 0) {
+  while ((n = ne_read_response_block(req, block, READ_BYTES)) > 0) {
     if (f->on_data && f->on_data(f->arg, block, (size_t)n) != 0) {
       rc = PW_E_CUT;
       break;
@@ -116,20 +116,20 @@
   return rc;
 }
 
-typedef struct text_answer {
+typedef struct text_result {
   int status;
   size_t max;
   pw_buf *out;
-} text_answer;
+} text_result;
 
-static int text_head(void *arg, int status, const pw_fetch_head *h) {
+static int on_text_head(void *arg, int status, const pw_fetch_head *h) {
   (void)h;
-  ((text_answer *)arg)->status = status;
+  ((text_result *)arg)->status = status;
   return 0;
 }
 
-static int text_data(void *arg, const char *data, size_t n) {
-  const text_answer *a = arg;
+static int on_text_data(void *arg, const char *data, size_t n) {
+  const text_result *a = arg;
   if (a->out->len + n > a->max)
     return -1;
   pwbuf_add(a->out, data, n);
@@ -140,7 +140,7 @@
                      const pw_fetch_header *headers, int nheaders,
                      const char *body, int timeout, size_t max, int *status,
                      pw_buf *out) {
-  text_answer a = {0, max, out};
+  text_result a = {0, max, out};
   pw_fetch f = {.url = url,
                 .method = method,
                 .path = path,
@@ -150,8 +150,8 @@
                 .body_len = body ? strlen(body) : 0,
                 .timeout = timeout,
                 .arg = &a,
-                .on_head = text_head,
-                .on_data = text_data};
+                .on_head = on_text_head,
+                .on_data = on_text_data};
   int sent;
   pw_code rc = pwfetch(&f, &sent);
   *status = a.status;
--- a/packages/http/pwfetch.h
+++ b/packages/http/pwfetch.h
@@ -1,8 +1,8 @@
-/* pwfetch.h: HTTP client side, over neon.
+/* pwfetch.h: HTTP client, built on neon.
 **
-** Each call uses a connection of its own that is never kept: neon resends a
-** request by itself when a kept connection closes before the reply, and a
-** request that may not be repeated would then run twice. */
+** Each call opens a connection of its own and does not reuse it. On a persistent connection neon
+** resends a request by itself when the peer closes before the answer, and a request that must not
+** be repeated would run twice. */
 #ifndef PWFETCH_H
 #define PWFETCH_H
 
@@ -14,8 +14,7 @@
   const char *value;
 } pw_fetch_header;
 
-/* The answer's status and headers are known. get(h, name) reads a header of
-** the answer, or gives NULL. Returns 0 to go on, -1 to break off. */
+/* Head of an answer, valid within on_head; a header of it, or NULL. */
 typedef struct pw_fetch_head pw_fetch_head;
 const char *pwfetch_answer_header(const pw_fetch_head *h, const char *name);
 
@@ -29,18 +28,21 @@
   int nheaders;
   const void *body;
   size_t body_len;
-  int timeout; /* s without a byte */
+  int timeout; /* s without receiving a byte */
   void *arg;
+
+  /* The status and headers have arrived; a piece of the body has arrived. Each returns 0 to go on,
+  ** -1 to abort the call. */
   int (*on_head)(void *arg, int status, const pw_fetch_head *h);
-  int (*on_data)(void *arg, const char *data, size_t n); /* 0, -1: break off */
+  int (*on_data)(void *arg, const char *data, size_t n);
 } pw_fetch;
 
-/* Makes one call. PW_OK: the whole answer was read; PW_E_CONNECT: nothing was
-** sent; PW_E_CUT: broken off after sending; PW_E_TIMEOUT; PW_E_UPSTREAM: the
-** answer is not HTTP. *sent tells whether the request may have arrived. */
+/* Makes one call. PW_OK: the complete answer was read; PW_E_CONNECT: nothing was sent; PW_E_CUT:
+** the call failed after sending; PW_E_TIMEOUT; PW_E_UPSTREAM: the answer is not HTTP. *sent:
+** whether the request may have arrived. */
 pw_code pwfetch(const pw_fetch *f, int *sent);
 
-/* A call with a small answer, kept whole in out (up to max bytes). */
+/* Makes a call and collects the answer's body in `out`; fails above `max` bytes. */
 pw_code pwfetch_text(const char *url, const char *method, const char *path,
                      const pw_fetch_header *headers, int nheaders,
                      const char *body, int timeout, size_t max, int *status,
--- a/packages/http/pwserve.c
+++ b/packages/http/pwserve.c
@@ -1,5 +1,5 @@
-/* pwserve.c: a server for handlers that answer from other threads: event loops of
-** connections (pwconn), one thread each. */
+/* pwserve.c: an HTTP server whose handlers may answer from other threads. Each server thread runs
+** an event loop with its own connections (pwconn). */
 #define _GNU_SOURCE
 #include "pwserve.h"
 
@@ -17,11 +17,15 @@
 #include <strings.h>
 #include <unistd.h>
 
-#define HEADER_BYTES (32 * 1024) /* of request line and headers */
-#define STREAM_BLOCK (16 * 1024)
-#define SEND_BYTES (32 * 1024)  /* a slow caller holds no more in the kernel */
-#define PENDING_MAX (32 * 1024) /* bytes that a caller has not taken yet */
-#define SWEEP_S 0.25
+#define HEADER_BYTES (32 * 1024) /* limit of request line and headers */
+#define STREAM_BLOCK (16 * 1024) /* bytes of one read of a stream */
+
+/* Kernel send buffer of a connection: the most that a slow caller fills. */
+#define SEND_BYTES (32 * 1024)
+
+#define PENDING_MAX                                                            \
+  (32 * 1024)        /* a stream pauses above these unwritten bytes */
+#define SWEEP_S 0.25 /* interval of checks for idle connections, s */
 #define MS_PER_S 1000
 
 /* One thread with its connections. */
@@ -32,13 +36,13 @@
   pw_conns conns;
   pthread_t thread;
   ev_timer sweep;
-  ev_async called;
+  ev_async notified; /* another thread has changed a field under the lock */
   pthread_mutex_t lock;
-  pw_http *woken;          /* under the lock: requests that are to go on */
-  pw_tls_keys *keys;       /* in use */
-  pw_tls_keys *next_keys;  /* under the lock: to be used from now on; or NULL */
+  pw_http *woken;          /* under the lock: requests to resume */
+  pw_tls_keys *keys;       /* keys in use */
+  pw_tls_keys *next_keys;  /* under the lock: keys to switch to, or NULL */
   int quiesce, end;        /* under the lock */
-  struct pw_http *waiting; /* that nobody has woken yet */
+  struct pw_http *waiting; /* suspended requests that are not resumed yet */
 } loop;
 
 struct pw_server {
@@ -48,19 +52,19 @@
   atomic_int active;
 };
 
-/* What the handler did with a request, when it returns. */
-typedef enum step { LEFT, WAITS, REPLIED, STREAMS } step;
+/* What the handler did with a request by the time it returned. */
+typedef enum step { NOT_ANSWERED, WAITS, REPLIED, STREAMS } step;
 
 struct pw_http {
   loop *l;
-  pw_conn *conn; /* NULL: its caller has gone */
+  pw_conn *conn; /* NULL: the caller disconnected */
   atomic_int is_gone;
   const char *method;
   char *path;
   char *query;
-  char **value; /* of headers and arguments that were asked for, zero-ended */
+  char **value; /* copies of headers and arguments given to the handler */
   int nvalues;
-  void *request;
+  void *request; /* state of the handler */
   step step;
   int status;
   pw_buf lines, body; /* of the answer */
@@ -68,10 +72,10 @@
   void *arg;
   int has_begun;
   pw_http *next_woken;
-  pw_http *prev, *next; /* of those that wait */
+  pw_http *prev, *next; /* in the list of waiting requests */
 };
 
-/* --- what was asked --- */
+/* --- request --- */
 
 static int digit_of(char c) {
   if (!isxdigit((unsigned char)c))
@@ -79,7 +83,7 @@
   return isdigit((unsigned char)c) ? c - '0' : (tolower(c) - 'a') + 10;
 }
 
-/* Bytes of a path or an argument, with %XX read. */
+/* Decodes %XX in a path or an argument. */
 static char *unescape(const char *p, size_t n) {
   char *out = pw_alloc(n + 1);
   size_t at = 0;
@@ -96,8 +100,8 @@
   return out;
 }
 
-/* Keeps text for as long as the request. */
-static const char *keep(pw_http *h, char *text) {
+/* Owns a text until the request ends. */
+static const char *own(pw_http *h, char *text) {
   char **grown = realloc(h->value, sizeof *grown * (size_t)(h->nvalues + 1));
   if (!grown)
     abort();
@@ -119,7 +123,7 @@
   for (const char *p = h->query; p && *p;) {
     size_t len = strcspn(p, "&");
     if (len > n && !strncmp(p, name, n) && p[n] == '=')
-      return keep(h, unescape(p + n + 1, len - n - 1));
+      return own(h, unescape(p + n + 1, len - n - 1));
     p += len + (p[len] != 0);
   }
   return NULL;
@@ -128,7 +132,7 @@
 const char *pwserve_header(pw_http *h, const char *name) {
   const pw_h1_header *found =
       h->conn ? pwh1_find(&h->conn->request, name) : NULL;
-  return found ? keep(h, pw_memdup(found->value, found->nvalue)) : NULL;
+  return found ? own(h, pw_memdup(found->value, found->nvalue)) : NULL;
 }
 
 const char *pwserve_body(const pw_http *h, size_t *n) {
@@ -141,8 +145,8 @@
                      void *arg) {
   const pw_h1 *m = &h->conn->request;
   for (int i = 0; i < m->nheaders; i++)
-    f(arg, keep(h, pw_memdup(m->header[i].name, m->header[i].nname)),
-      keep(h, pw_memdup(m->header[i].value, m->header[i].nvalue)));
+    f(arg, own(h, pw_memdup(m->header[i].name, m->header[i].nname)),
+      own(h, pw_memdup(m->header[i].value, m->header[i].nvalue)));
 }
 
 void pwserve_set(pw_http *h, void *request) {
@@ -153,11 +157,11 @@
   return h->request;
 }
 
-/* --- what the handler does with it --- */
+/* --- answer --- */
 
 void pwserve_add(pw_http *h, const char *name, const char *value) {
   if (strpbrk(value, "\r\n"))
-    return; /* would begin another line */
+    return; /* a line break would inject a header */
   pwbuf_fmt(&h->lines, "%s: %s\r\n", name, value);
 }
 
@@ -190,7 +194,7 @@
   pthread_mutex_lock(&l->lock);
   h->next_woken = l->woken;
   l->woken = h;
-  ev_async_send(l->ev, &l->called);
+  ev_async_send(l->ev, &l->notified);
   pthread_mutex_unlock(&l->lock);
 }
 
@@ -198,7 +202,7 @@
   return atomic_load(&h->is_gone);
 }
 
-/* --- the life of a request --- */
+/* --- request lifecycle --- */
 
 static void list_waiting(pw_http *h) {
   loop *l = h->l;
@@ -218,11 +222,11 @@
     h->next->prev = h->prev;
 }
 
-/* The request is over; its connection, if any is left, has its answer. */
-static void finish(pw_http *h, int whole) {
+/* Ends a request that is answered or abandoned, and frees it. */
+static void finish(pw_http *h, int is_complete) {
   pw_server *s = h->l->server;
   if (h->request)
-    s->set.done(s->set.arg, h->request, whole);
+    s->set.done(s->set.arg, h->request, is_complete);
   for (int i = 0; i < h->nvalues; i++)
     free(h->value[i]);
   free(h->value);
@@ -238,8 +242,8 @@
   return h->lines.data ? h->lines.data : "";
 }
 
-/* Takes the request off its connection, whose answer is to be ended next. */
-static pw_conn *take_conn(pw_http *h) {
+/* Detaches the request from its connection; the caller ends the answer next. */
+static pw_conn *detach_conn(pw_http *h) {
   pw_conn *c = h->conn;
   c->state = NULL;
   h->conn = NULL;
@@ -247,12 +251,12 @@
 }
 
 static void reply(pw_http *h) {
-  pw_conn *c = take_conn(h);
+  pw_conn *c = detach_conn(h);
   pwconn_answer(c, h->status, lines_of(h), h->body.data, h->body.len);
   finish(h, 1);
 }
 
-/* Reads the stream until it waits, ends, or the caller does not keep up. */
+/* Writes the stream until it waits or ends, or too many bytes are unwritten. */
 static void pump(pw_http *h) {
   char block[STREAM_BLOCK];
   if (!h->has_begun)
@@ -267,7 +271,7 @@
       list_waiting(h);
       return;
     } else {
-      pw_conn *c = take_conn(h);
+      pw_conn *c = detach_conn(h);
       if (n == -1)
         pwconn_end(c);
       else
@@ -280,7 +284,7 @@
 
 static void handle(pw_http *h, int again) {
   const pw_serve_setup *set = &h->l->server->set;
-  h->step = LEFT;
+  h->step = NOT_ANSWERED;
   set->handle(set->arg, h, again);
   if (h->step == WAITS)
     list_waiting(h);
@@ -289,11 +293,11 @@
   else if (h->step == STREAMS)
     pump(h);
   else
-    assert(!"a handler answers or waits");
+    assert(!"the handler neither answered nor waited");
 }
 
-/* A request that was left is to go on. */
-static void go_on(pw_http *h) {
+/* Resumes a suspended request. */
+static void resume_request(pw_http *h) {
   unlist_waiting(h);
   if (!h->conn) {
     finish(h, 0);
@@ -324,7 +328,7 @@
   handle(h, 0);
 }
 
-/* Whoever waits is told when it is woken: another thread refers to it. */
+/* A suspended request is not freed before it is woken, because another thread refers to it. */
 static void on_abandoned(void *request) {
   pw_http *h = request;
   h->conn = NULL;
@@ -339,13 +343,13 @@
     pump(h);
 }
 
-/* --- a loop --- */
+/* --- event loop of one thread --- */
 
-static void take_orders(loop *l) {
+static void handle_notification(loop *l) {
   pthread_mutex_lock(&l->lock);
   pw_http *woken = l->woken;
   pw_tls_keys *keys = l->next_keys;
-  int quiesce = l->quiesce, over = l->end;
+  int quiesce = l->quiesce, end = l->end;
   l->woken = NULL;
   l->next_keys = NULL;
   pthread_mutex_unlock(&l->lock);
@@ -356,21 +360,21 @@
   while (woken) {
     pw_http *h = woken;
     woken = h->next_woken;
-    go_on(h);
+    resume_request(h);
   }
   if (quiesce && !l->conns.is_stopping) {
     l->conns.is_stopping = 1;
     pwconns_unlisten(&l->conns);
     pwconns_close_idle(&l->conns);
   }
-  if (over)
+  if (end)
     ev_break(l->ev, EVBREAK_ALL);
 }
 
-static void on_called(struct ev_loop *ev, ev_async *w, int events) {
+static void on_notified(struct ev_loop *ev, ev_async *w, int events) {
   (void)ev;
   (void)events;
-  take_orders(w->data);
+  handle_notification(w->data);
 }
 
 static void on_sweep(struct ev_loop *ev, ev_timer *w, int events) {
@@ -407,23 +411,23 @@
                  .handle = on_request,
                  .abandoned = on_abandoned,
                  .resume = on_resume};
-  ev_async_init(&l->called, on_called);
+  ev_async_init(&l->notified, on_notified);
   ev_timer_init(&l->sweep, on_sweep, SWEEP_S, SWEEP_S);
-  l->called.data = l->sweep.data = l;
-  ev_async_start(l->ev, &l->called);
+  l->notified.data = l->sweep.data = l;
+  ev_async_start(l->ev, &l->notified);
   ev_timer_start(l->ev, &l->sweep);
 }
 
-/* Its thread has ended. Those that nobody woke end here. */
+/* Frees a loop whose thread has ended, and ends its suspended requests. */
 static void free_loop(loop *l) {
   pwconns_end(&l->conns);
-  take_orders(l);
+  handle_notification(l);
   while (l->waiting) {
     pw_http *h = l->waiting;
     unlist_waiting(h);
     finish(h, 0);
   }
-  ev_async_stop(l->ev, &l->called);
+  ev_async_stop(l->ev, &l->notified);
   ev_timer_stop(l->ev, &l->sweep);
   pwtcp_loop_free(&l->tcp);
   ev_loop_destroy(l->ev);
@@ -437,7 +441,7 @@
   return set->tls_cert && set->tls_cert[0];
 }
 
-/* Keys for each loop, or none where TLS is not spoken. -1 with a reason. */
+/* Loads keys for each loop, or NULL without TLS; -1 with a reason in `err`. */
 static int read_keys(const pw_server *s, pw_tls_keys **out, pw_buf *err) {
   for (int i = 0; i < s->nloops; i++) {
     out[i] =
@@ -446,27 +450,27 @@
       continue;
     while (i-- > 0)
       pwtls_keys_drop(out[i]);
-    pwbuf_fmt(err, "%s: %s and %s are no certificate and its key\n",
+    pwbuf_fmt(err, "%s: %s and %s are not a certificate and its key\n",
               s->set.addr, s->set.tls_cert, s->set.tls_key);
     return -1;
   }
   return 0;
 }
 
-/* A descriptor that listens at the address, or -1 with a reason. */
-static int listen_at(const char *addr, pw_buf *err) {
+/* Returns a descriptor that listens on the address, or -1 with a reason in `err`. */
+static int listen_on(const char *addr, pw_buf *err) {
   struct sockaddr_in at;
   if (pwtcp_address(addr, &at) != 0) {
-    pwbuf_fmt(err, "%s: IP:PORT is allowed\n", addr);
+    pwbuf_fmt(err, "%s: not an address of the form IP:PORT\n", addr);
     return -1;
   }
   int fd = pwtcp_listen(&at);
   if (fd < 0)
-    pwbuf_fmt(err, "%s: cannot listen\n", addr);
+    pwbuf_fmt(err, "%s: cannot listen on this address\n", addr);
   return fd;
 }
 
-/* All loops accept at one socket, by descriptors of their own. */
+/* All loops accept on one socket, each through its own descriptor. */
 static void start_loops(pw_server *s, pw_tls_keys **keys, int fd) {
   for (int i = 0; i < s->nloops; i++) {
     init_loop(s, &s->loops[i], keys[i]);
@@ -488,7 +492,7 @@
   int fd = -1;
   if (read_keys(s, keys, err) != 0)
     goto failed;
-  fd = listen_at(setup->addr, err);
+  fd = listen_on(setup->addr, err);
   if (fd < 0)
     goto no_listener;
   s->loops = pw_alloc(sizeof *s->loops * (size_t)s->nloops);
@@ -504,9 +508,9 @@
   return NULL;
 }
 
-/* Has a loop look at what it is told under its lock. */
-static void call(loop *l) {
-  ev_async_send(l->ev, &l->called);
+/* Notifies a loop of changes made under its lock, and unlocks. */
+static void notify(loop *l) {
+  ev_async_send(l->ev, &l->notified);
   pthread_mutex_unlock(&l->lock);
 }
 
@@ -518,7 +522,7 @@
     pthread_mutex_lock(&l->lock);
     pwtls_keys_drop(l->next_keys);
     l->next_keys = keys[i];
-    call(l);
+    notify(l);
   }
   free(keys);
   return rc;
@@ -528,7 +532,7 @@
   for (int i = 0; i < s->nloops; i++) {
     pthread_mutex_lock(&s->loops[i].lock);
     s->loops[i].quiesce = 1;
-    call(&s->loops[i]);
+    notify(&s->loops[i]);
   }
 }
 
@@ -542,7 +546,7 @@
   for (int i = 0; i < s->nloops; i++) {
     pthread_mutex_lock(&s->loops[i].lock);
     s->loops[i].end = 1;
-    call(&s->loops[i]);
+    notify(&s->loops[i]);
   }
   for (int i = 0; i < s->nloops; i++)
     pthread_join(s->loops[i].thread, NULL);
--- a/packages/http/pwserve.h
+++ b/packages/http/pwserve.h
@@ -20,21 +20,21 @@
   const char *tls_key;
   void *arg;
 
-  /* A whole request is there. The handler answers with pwserve_reply or
-  ** pwserve_stream, or leaves it with pwserve_wait and is called again, with
-  ** `again` set, after pwserve_wake. */
+  /* A complete request has arrived. The handler answers with pwserve_reply or pwserve_stream, or
+  ** suspends the request with pwserve_wait and is called again, with `again` set, after
+  ** pwserve_wake. */
   void (*handle)(void *arg, pw_http *h, int again);
 
-  /* The request is over, whether answered or the caller has gone. Called once
-  ** if the handler set a request with pwserve_set. */
-  void (*done)(void *arg, void *request, int whole);
+  /* The request has ended: answered, or its caller disconnected (`is_complete` is 0). Called once
+  ** if the handler set a state with pwserve_set. */
+  void (*done)(void *arg, void *request, int is_complete);
 } pw_serve_setup;
 
 /* Starts the server's threads; NULL with a reason in err. */
 pw_server *pwserve_start(const pw_serve_setup *setup, pw_buf *err);
 
-/* Reads certificate and key anew for connections to come; those that are there
-** go on with the old ones. 0, or -1 with a reason in err and all as it was. */
+/* Reloads certificate and key for new connections; open ones keep the old ones. Returns 0, or -1
+** with a reason in `err` and the old keys still in use. */
 int pwserve_renew(pw_server *s, pw_buf *err);
 
 /* Stops listening; requests in progress go on. */
@@ -45,7 +45,7 @@
 
 void pwserve_stop(pw_server *s);
 
-/* What was asked. Strings live as long as the request. */
+/* Parts of the request. Strings are valid as long as the request. */
 const char *pwserve_method(const pw_http *h);
 const char *pwserve_path(const pw_http *h);
 const char *pwserve_query(pw_http *h, const char *name);  /* or NULL */
@@ -61,25 +61,25 @@
 void pwserve_set(pw_http *h, void *request);
 void *pwserve_get(const pw_http *h);
 
-/* Adds a header to the coming answer. */
+/* Adds a header to the answer, before it is sent. */
 void pwserve_add(pw_http *h, const char *name, const char *value);
 
-/* Answers with a whole body, which is copied. */
+/* Answers with a complete body, which is copied. */
 void pwserve_reply(pw_http *h, int status, const char *type, const void *body,
                    size_t n);
 
-/* Gives bytes of a streamed answer: >0 bytes put into buf, 0 none yet (it must
-** have called pwserve_wait), -1 the end, -2 broken off. */
+/* Reads the next bytes of a streamed answer into buf. Returns their number; 0: none yet, after it
+** has called pwserve_wait; -1: the end; -2: failed, and the connection is reset. */
 typedef ssize_t (*pw_stream_read)(void *arg, pw_http *h, char *buf, size_t max);
 void pwserve_stream(pw_http *h, int status, const char *type,
                     pw_stream_read read, void *arg);
 
-/* Leaves the request until pwserve_wake, which any thread may call once for
-** each wait. Callers order the two by a lock of their own. */
+/* Suspends the request until pwserve_wake, which any thread may call, once for each wait. The
+** caller needs a lock of its own so that the wake does not come before the wait. */
 void pwserve_wait(pw_http *h);
 void pwserve_wake(pw_http *h);
 
-/* Whether the caller's connection is seen to be closed. */
+/* Whether the caller is known to have disconnected. */
 int pwserve_gone(pw_http *h);
 
 #endif
--- a/packages/net/pwconn.c
+++ b/packages/net/pwconn.c
@@ -1,4 +1,4 @@
-/* pwconn.c: callers' connections: requests in, answers out. */
+/* pwconn.c: HTTP/1 connections of callers: reads requests, writes answers. */
 #define _GNU_SOURCE
 #include "pwconn.h"
 
@@ -13,35 +13,41 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define AHEAD_MAX (256 * 1024) /* bytes read while a request is in progress */
-#define UNTAKEN_MAX                                                            \
-  (64 * 1024)                /* of answers; past that the next request waits */
-#define KEPT_MAX (16 * 1024) /* a larger body's memory is given back after it */
+/* Bytes read read_ahead while a request is in progress, before reading pauses. */
+#define READ_AHEAD_MAX (256 * 1024)
+
+/* Bytes of answers that wait for the caller; above that its next request is not started. */
+#define PENDING_MAX (64 * 1024)
+
+/* Bytes of a body buffer that are kept for the next request; a larger buffer is freed. */
+#define BODY_RETAIN_MAX (16 * 1024)
 #define MS_PER_S 1000.0
 
-/* To make room, this part of those at rest are closed at once: they cost their callers a new
-** connection each, so few; but finding the longest at rest looks at all of them. */
-#define BATCH_PART 8
+/* To make room, one in so many idle connections is closed at a time. Each one closed costs its
+** caller a reconnect, so the share is small; but finding the longest idle visits all of them, so it
+** is more than one. */
+#define IDLE_CLOSE_FRACTION 8
 
-/* Where nobody rests, accept is tried again so soon: a descriptor may come back unseen, from
-** another part of the process. Seen at once where a connection of the same listener ends. */
-#define AGAIN_MS 50
+/* Retry interval of accept when no idle connection can be closed, ms. Another part of the process
+** may release a descriptor without notice; the end of a connection of this listener resumes
+** accepting at once. */
+#define ACCEPT_RETRY_MS 50
 
-#define SAY_MS 1000 /* between log lines of accepts that fail */
+#define LOG_INTERVAL_MS 1000 /* shortest time between log lines of one kind */
 
-static void take(pw_conn *c, const char *data, size_t n);
+static void parse(pw_conn *c, const char *data, size_t n);
 
-/* --- ends --- */
+/* --- closing --- */
 
-/* Callers wait in the kernel's queue while as many as are allowed are here. */
+/* Accepting stops while the listener is full; callers then wait in the kernel's backlog. */
 static void resume_accepting(pw_conns *s) {
   if (s->listening.fd >= 0 && !ev_is_active(&s->listening))
     ev_io_start(s->tcp->ev, &s->listening);
 }
 
 typedef enum close_how {
-  CLOSE_AFTER_WRITE, /* when what was written has left and the caller closes, too */
-  CLOSE_AT_ONCE,     /* its descriptor is needed; what was written has left */
+  CLOSE_AFTER_WRITE, /* once all output is written and the caller has closed, too */
+  CLOSE_AT_ONCE,     /* frees the descriptor now; all output has been written */
   CLOSE_RESET
 } close_how;
 
@@ -68,7 +74,7 @@
   resume_accepting(all);
   pwh1_free(&c->request);
   pwbuf_free(&c->body);
-  pwbuf_free(&c->ahead);
+  pwbuf_free(&c->read_ahead);
   c->next = all->dead;
   all->dead = c;
 }
@@ -87,12 +93,12 @@
   return c->request.parser.http_major == 1 && c->request.parser.http_minor == 0;
 }
 
-/* Whether the connection ends with this answer. */
+/* Whether this answer closes the connection. */
 static int ends_with_answer(const pw_conn *c) {
   return c->close_next || !c->request.keep || c->all->is_stopping;
 }
 
-static void take_ahead(pw_conn *c);
+static void parse_read_ahead(pw_conn *c);
 
 static void next_request(pw_conn *c) {
   c->is_busy = 0;
@@ -103,24 +109,24 @@
   }
   pwh1_reset(&c->request);
   c->body.len = 0;
-  if (c->body.cap > KEPT_MAX)
+  if (c->body.cap > BODY_RETAIN_MAX)
     pwbuf_free(&c->body);
   c->since = pwtcp_clock(c->all->tcp);
-  if (pwtcp_pending(c->tcp) > UNTAKEN_MAX)
-    c->is_held_up = c->is_busy = 1;
+  if (pwtcp_pending(c->tcp) > PENDING_MAX)
+    c->is_throttled = c->is_busy = 1;
   else
-    take_ahead(c);
+    parse_read_ahead(c);
 }
 
-/* What came meanwhile is the next request. */
-static void take_ahead(pw_conn *c) {
-  if (c->is_taking || c->ahead.len == 0)
+/* Parses the bytes received during the previous request. */
+static void parse_read_ahead(pw_conn *c) {
+  if (c->is_parsing || c->read_ahead.len == 0)
     return;
-  pw_buf ahead = c->ahead;
-  c->ahead = (pw_buf){0};
+  pw_buf read_ahead = c->read_ahead;
+  c->read_ahead = (pw_buf){0};
   pwtcp_pause(c->tcp, 0);
-  take(c, ahead.data, ahead.len);
-  pwbuf_free(&ahead);
+  parse(c, read_ahead.data, read_ahead.len);
+  pwbuf_free(&read_ahead);
 }
 
 static int is_head_only(const pw_conn *c) {
@@ -138,7 +144,7 @@
   next_request(c);
 }
 
-/* `more` are header lines besides. */
+/* Answers with an error as JSON; `more` are further header lines. */
 static void refuse(pw_conn *c, pw_code code, const char *message,
                    const char *more) {
   char lines[160];
@@ -198,7 +204,7 @@
 
 /* --- requests --- */
 
-/* A request that did not come whole, or is none: nobody has seen it. */
+/* For a request that is malformed or incomplete. No handler has seen it, so it has not run. */
 static void refuse_and_close(pw_conn *c, pw_code code, const char *message) {
   c->close_next = 1;
   refuse(c, code, message, "Peatwell-Outcome: not-run\r\n");
@@ -211,19 +217,19 @@
 }
 
 static size_t longest_body(const pw_conns *s) {
-  size_t most = s->limits.body_bytes;
-  return s->body_room && s->body_room < most ? s->body_room : most;
+  size_t max = s->limits.body_bytes;
+  return s->body_room && s->body_room < max ? s->body_room : max;
 }
 
-/* It is longer than is allowed, or than there is room for now. */
+/* The body is longer than allowed, or than the memory available now. */
 static void refuse_body(pw_conn *c, uint64_t length) {
   if (length > c->all->limits.body_bytes)
-    refuse_and_close(c, PW_E_TOO_LARGE, "the body is over its limit");
+    refuse_and_close(c, PW_E_TOO_LARGE, "the request body is over its limit");
   else
-    refuse_and_close(c, PW_E_BUSY, "no room for its body now");
+    refuse_and_close(c, PW_E_BUSY, "no memory for the request body now");
 }
 
-/* A head has come. Gives 0 when it was refused. */
+/* Checks a complete head; returns 0 when the request was refused. */
 static int check_head(pw_conn *c) {
   const pw_h1 *m = &c->request;
   uint64_t length =
@@ -238,7 +244,7 @@
   return 1;
 }
 
-/* Gives 0 when no more is to be read for now. */
+/* Acts on the parser's state; returns 0 when parsing must stop for now. */
 static int check_state(pw_conn *c) {
   switch (c->request.state) {
   case PWH1_BAD:
@@ -260,22 +266,22 @@
   }
 }
 
-static void keep_ahead(pw_conn *c, const char *data, size_t n) {
-  size_t most = c->all->ahead_max ? c->all->ahead_max : AHEAD_MAX;
-  pwbuf_add(&c->ahead, data, n);
-  if (c->ahead.len > most)
+static void buffer_read_ahead(pw_conn *c, const char *data, size_t n) {
+  size_t max = c->all->ahead_max ? c->all->ahead_max : READ_AHEAD_MAX;
+  pwbuf_add(&c->read_ahead, data, n);
+  if (c->read_ahead.len > max)
     pwtcp_pause(c->tcp, 1);
 }
 
-/* Takes bytes until a request is whole and was handled; gives how many. */
-static size_t take_some(pw_conn *c, const char *data, size_t n) {
+/* Parses bytes until a request is complete and handled; returns how many were used. */
+static size_t parse_some(pw_conn *c, const char *data, size_t n) {
   pw_h1_state before = c->request.state;
   if (before == PWH1_HEAD && c->request.head.len == 0) {
     c->since = pwtcp_clock(c->all->tcp);
     c->request.head_max = c->all->limits.header_bytes;
   }
   size_t used = pwh1_take(&c->request, data, n);
-  c->behind = n - used;
+  c->unparsed = n - used;
   pw_h1_state now = c->request.state;
   int had_head = before == PWH1_HEAD && (now == PWH1_BODY || now == PWH1_DONE);
   if (had_head && !check_head(c))
@@ -285,27 +291,27 @@
   return used || now != before ? used : n;
 }
 
-/* Takes what has come: requests that are answered at once follow one another here,
-** not each within the one before. What follows one in progress is kept. */
-static void take(pw_conn *c, const char *data, size_t n) {
-  c->is_taking = 1;
+/* Parses received bytes. Pipelined requests that are answered at once are handled in this loop
+** and not recursively; bytes that follow a request in progress are buffered. */
+static void parse(pw_conn *c, const char *data, size_t n) {
+  c->is_parsing = 1;
   while (n > 0 && !c->is_busy && !c->is_closed) {
-    size_t used = take_some(c, data, n);
+    size_t used = parse_some(c, data, n);
     data += used;
     n -= used;
   }
-  c->is_taking = 0;
-  c->behind = 0;
+  c->is_parsing = 0;
+  c->unparsed = 0;
   if (n > 0 && !c->is_closed)
-    keep_ahead(c, data, n);
+    buffer_read_ahead(c, data, n);
 }
 
 static void on_data(void *arg, const char *data, size_t n) {
   pw_conn *c = arg;
   if (c->is_busy)
-    keep_ahead(c, data, n);
+    buffer_read_ahead(c, data, n);
   else
-    take(c, data, n);
+    parse(c, data, n);
 }
 
 static void on_ended(void *arg, pw_tcp_end how) {
@@ -321,10 +327,10 @@
     return;
   if (!c->is_busy)
     c->since = pwtcp_clock(c->all->tcp);
-  if (!c->is_held_up)
+  if (!c->is_throttled)
     return;
-  c->is_held_up = c->is_busy = 0;
-  take_ahead(c);
+  c->is_throttled = c->is_busy = 0;
+  parse_read_ahead(c);
 }
 
 static void on_connected(void *arg) {
@@ -352,9 +358,9 @@
 
 /* --- listening --- */
 
-/* No request is in progress, and none has come: after the process stood still
-** one may wait to be read. */
-static int is_at_rest(const pw_conn *c) {
+/* No request is in progress or partly received. Unread bytes count as a request: after a stall of
+** the process one may wait in the socket. */
+static int is_idle(const pw_conn *c) {
   return !c->is_busy && c->request.state == PWH1_HEAD &&
          c->request.head.len == 0 && !pwtcp_has_unread(c->tcp);
 }
@@ -365,69 +371,71 @@
   return (x > y) - (x < y);
 }
 
-/* Those at rest, the longest first, to be freed; gives how many. */
-static int list_at_rest(const pw_conns *s, pw_conn ***out) {
-  pw_conn **at_rest = pw_alloc(sizeof *at_rest * (size_t)(s->count + 1));
+/* Lists the idle connections, the longest idle first, in an array that the caller frees; returns
+** their number. */
+static int list_idle(const pw_conns *s, pw_conn ***out) {
+  pw_conn **idle = pw_alloc(sizeof *idle * (size_t)(s->count + 1));
   int n = 0;
   for (pw_conn *c = s->first; c; c = c->next)
-    if (is_at_rest(c))
-      at_rest[n++] = c;
-  qsort(at_rest, (size_t)n, sizeof(pw_conn *), by_since);
-  *out = at_rest;
+    if (is_idle(c))
+      idle[n++] = c;
+  qsort(idle, (size_t)n, sizeof(pw_conn *), by_since);
+  *out = idle;
   return n;
 }
 
-/* Closes some of those that have rested longest, so that their descriptors are free now: one
-** that waits for its caller to close keeps it for up to a second, and those at rest would all
-** be closed meanwhile. Gives how many. */
-static int close_longest_at_rest(pw_conns *s) {
-  pw_conn **at_rest;
-  int n = list_at_rest(s, &at_rest);
-  int batch = (n + BATCH_PART - 1) / BATCH_PART;
+/* Closes the longest idle connections and frees their descriptors at once; returns how many. A
+** connection that waits for its caller to close keeps its descriptor for up to a second, and in
+** that time all idle connections would be closed one after another. */
+static int close_longest_idle(pw_conns *s) {
+  pw_conn **idle;
+  int n = list_idle(s, &idle);
+  int batch = (n + IDLE_CLOSE_FRACTION - 1) / IDLE_CLOSE_FRACTION;
   for (int i = 0; i < batch; i++)
-    close_conn(at_rest[i], pwtcp_pending(at_rest[i]->tcp) ? CLOSE_AFTER_WRITE
-                                                          : CLOSE_AT_ONCE);
-  free(at_rest);
+    close_conn(idle[i],
+               pwtcp_pending(idle[i]->tcp) ? CLOSE_AFTER_WRITE : CLOSE_AT_ONCE);
+  free(idle);
   return batch;
 }
 
-/* Whether one more may come; those that are being closed have their descriptors yet. */
+/* Whether the limit is reached. Closing connections count: they still have their descriptors. */
 static int is_full(const pw_conns *s) {
   return s->max && s->count + s->tcp->nclosing >= s->max;
 }
 
 static int has_room(pw_conns *s) {
   if (is_full(s))
-    close_longest_at_rest(s);
+    close_longest_idle(s);
   return !is_full(s);
 }
 
-/* Callers wait in the kernel's queue: until a connection ends, or for a moment. */
+/* Stops accepting until a connection ends or ACCEPT_RETRY_MS have passed; callers wait in the
+** kernel's backlog. */
 static void wait_for_room(pw_conns *s) {
   ev_io_stop(s->tcp->ev, &s->listening);
-  pwtcp_timer(s->tcp, &s->again, AGAIN_MS);
+  pwtcp_timer(s->tcp, &s->accept_retry, ACCEPT_RETRY_MS);
 }
 
-static void on_again(struct ev_loop *ev, ev_timer *w, int events) {
+static void on_accept_retry(struct ev_loop *ev, ev_timer *w, int events) {
   (void)ev;
   (void)events;
   resume_accepting(w->data);
 }
 
-static void note_failed(pw_conns *s, int why) {
+static void log_accept_failed(pw_conns *s, int err) {
   int64_t now = pwclock_ms();
   s->nfailed++;
-  if (s->said_at && now - s->said_at < SAY_MS)
+  if (s->failed_logged_at && now - s->failed_logged_at < LOG_INTERVAL_MS)
     return;
   pwlog(LOG_WARNING, "accept-failed",
-        "errno=%d connections=%d closing=%d times=%d", why, s->count,
-        s->tcp->nclosing, s->nfailed - s->nsaid);
-  s->nsaid = s->nfailed;
-  s->said_at = now;
+        "errno=%d connections=%d closing=%d times=%d", err, s->count,
+        s->tcp->nclosing, s->nfailed - s->nfailed_logged);
+  s->nfailed_logged = s->nfailed;
+  s->failed_logged_at = now;
 }
 
-static int lacks_descriptor(int why) {
-  return why == EMFILE || why == ENFILE;
+static int lacks_descriptor(int err) {
+  return err == EMFILE || err == ENFILE;
 }
 
 static void on_listening(struct ev_loop *ev, ev_io *w, int events) {
@@ -442,13 +450,13 @@
       has_closed = 0;
       continue;
     }
-    int why = errno;
-    if (why == EAGAIN)
+    int err = errno;
+    if (err == EAGAIN)
       return;
-    if (why == EINTR || why == ECONNABORTED)
+    if (err == EINTR || err == ECONNABORTED)
       continue;
-    note_failed(s, why);
-    if (has_closed || !lacks_descriptor(why) || close_longest_at_rest(s) == 0)
+    log_accept_failed(s, err);
+    if (has_closed || !lacks_descriptor(err) || close_longest_idle(s) == 0)
       break;
     has_closed = 1;
   }
@@ -469,8 +477,8 @@
 void pwconns_start(pw_conns *s, int fd) {
   ev_prepare_init(&s->reap, on_reap);
   ev_io_init(&s->listening, on_listening, fd, EV_READ);
-  ev_timer_init(&s->again, on_again, 0, 0);
-  s->reap.data = s->listening.data = s->again.data = s;
+  ev_timer_init(&s->accept_retry, on_accept_retry, 0, 0);
+  s->reap.data = s->listening.data = s->accept_retry.data = s;
   ev_prepare_start(s->tcp->ev, &s->reap);
   ev_io_start(s->tcp->ev, &s->listening);
 }
@@ -479,14 +487,14 @@
   if (!s->reap.data || s->listening.fd < 0)
     return;
   ev_io_stop(s->tcp->ev, &s->listening);
-  ev_timer_stop(s->tcp->ev, &s->again);
+  ev_timer_stop(s->tcp->ev, &s->accept_retry);
   close(s->listening.fd);
   s->listening.fd = -1;
 }
 
 void pwconns_end(pw_conns *s) {
   if (!s->reap.data)
-    return; /* was never started */
+    return; /* never started */
   pwconns_unlisten(s);
   while (s->first)
     pwconn_break(s->first);
@@ -496,7 +504,7 @@
 }
 
 int pwconn_has_more(const pw_conn *c) {
-  return c->behind > 0 || c->ahead.len > 0 || pwtcp_has_unread(c->tcp);
+  return c->unparsed > 0 || c->read_ahead.len > 0 || pwtcp_has_unread(c->tcp);
 }
 
 int pwconn_path_is(const pw_conn *c, const char *path) {
@@ -504,22 +512,22 @@
          !memcmp(c->request.url, path, c->request.nurl);
 }
 
-/* --- connections that rest or dawdle --- */
+/* --- idle connections and slow requests --- */
 
-/* Its caller has not taken its answer yet; pwconns_check ends it if it does not. */
-static int is_awaited(const pw_conn *c) {
+/* The caller has not read its answer yet; if it reads nothing, pwconns_check resets it. */
+static int has_pending_answer(const pw_conn *c) {
   return c->all->stall_whole_ms && pwtcp_pending(c->tcp) > 0;
 }
 
-/* `now` by pwtcp_clock: a caller is not late for what the loop stood still. */
-static void sweep_one(pw_conn *c, int64_t now) {
+/* `now` is of pwtcp_clock: time in which the loop stalled does not count against a caller. */
+static void check_expiry(pw_conn *c, int64_t now) {
   const pw_conn_limits *l = &c->all->limits;
   if (c->is_busy)
     return;
   int64_t age = now - c->since;
   int64_t header_ms = l->header_ms ? l->header_ms : l->idle_ms;
   if (c->request.state == PWH1_HEAD && c->request.head.len == 0) {
-    if (age > l->idle_ms && is_at_rest(c) && !is_awaited(c))
+    if (age > l->idle_ms && is_idle(c) && !has_pending_answer(c))
       close_conn(c, CLOSE_AFTER_WRITE);
   } else if (c->request.state == PWH1_HEAD) {
     if (age > header_ms)
@@ -531,47 +539,47 @@
 
 /* --- callers that do not read --- */
 
-/* `now` by pwtcp_clock. */
+/* Whether the caller has read nothing for too long; `now` is of pwtcp_clock. */
 static int has_stalled(pw_conn *c, int64_t now) {
-  uint64_t taken = pwtcp_taken(c->tcp);
-  if (pwtcp_pending(c->tcp) == 0 || taken != c->taken || !c->taken_at) {
-    c->taken = taken;
-    c->taken_at = now;
+  uint64_t written = pwtcp_taken(c->tcp);
+  if (pwtcp_pending(c->tcp) == 0 || written != c->written || !c->progress_at) {
+    c->written = written;
+    c->progress_at = now;
   }
-  int64_t most = c->state ? c->all->stall_ms : c->all->stall_whole_ms;
-  return most && now - c->taken_at >= most;
+  int64_t max = c->state ? c->all->stall_ms : c->all->stall_whole_ms;
+  return max && now - c->progress_at >= max;
 }
 
-static void note_stalled(pw_conns *s, const pw_conn *c, int64_t now) {
+static void log_stalled(pw_conns *s, const pw_conn *c, int64_t now) {
   s->nstalled++;
-  if (s->stalled_at && now - s->stalled_at < SAY_MS)
+  if (s->stalled_logged_at && now - s->stalled_logged_at < LOG_INTERVAL_MS)
     return;
-  s->stalled_at = now;
+  s->stalled_logged_at = now;
   pwlog(LOG_NOTICE, "caller-stalled",
         "ms=%lld untaken_bytes=%zu times=%lld connections=%d",
-        (long long)(now - c->taken_at), pwtcp_pending(c->tcp),
+        (long long)(now - c->progress_at), pwtcp_pending(c->tcp),
         (long long)s->nstalled, s->count);
 }
 
 size_t pwconns_check(pw_conns *s, int64_t at) {
   int64_t now = pwlag_clock(&s->tcp->lag, at);
-  size_t held = 0;
+  size_t buffered = 0;
   for (pw_conn *c = s->first, *next; c; c = next) {
     next = c->next;
     if (has_stalled(c, now)) {
-      note_stalled(s, c, now);
+      log_stalled(s, c, now);
       close_conn(c, CLOSE_RESET);
       continue;
     }
-    held += pwtcp_held(c->tcp) + c->body.cap + c->ahead.cap;
+    buffered += pwtcp_held(c->tcp) + c->body.cap + c->read_ahead.cap;
   }
-  return held;
+  return buffered;
 }
 
 void pwconns_close_idle(pw_conns *s) {
   for (pw_conn *c = s->first, *next; c; c = next) {
     next = c->next;
-    if (is_at_rest(c))
+    if (is_idle(c))
       close_conn(c, CLOSE_AFTER_WRITE);
   }
 }
@@ -580,6 +588,6 @@
   int64_t now = pwlag_clock(&s->tcp->lag, at);
   for (pw_conn *c = s->first, *next; c; c = next) {
     next = c->next;
-    sweep_one(c, now);
+    check_expiry(c, now);
   }
 }
--- a/packages/net/pwconn.h
+++ b/packages/net/pwconn.h
@@ -1,6 +1,6 @@
-/* pwconn.h: callers' connections: requests in, answers out. One HTTP engine for all
-** that is served here. The connections of a server and its loop belong to one
-** thread. */
+/* pwconn.h: HTTP/1 connections of callers: reads requests, writes answers. Gateways, the resource
+** API and entries all serve HTTP through it. A listener, its connections and their event loop
+** belong to one thread. */
 #ifndef PWCONN_H
 #define PWCONN_H
 
@@ -12,47 +12,46 @@
 
 typedef struct pw_conn pw_conn;
 
-/* What a caller may send, and how long it may take or rest. */
+/* Limits on the size of a request, and on the time that a caller may take or stay idle. */
 typedef struct pw_conn_limits {
   size_t header_bytes;
   size_t body_bytes;
-  int64_t header_ms; /* 0: a head may take as long as a connection may rest */
+  int64_t header_ms; /* longest time to send a head; 0: idle_ms applies */
   int64_t idle_ms;
 } pw_conn_limits;
 
-/* The connections of one listener. The owner fills in the first part. */
+/* The connections of one listener. The owner fills in the first part before pwconns_start. */
 typedef struct pw_conns {
   pw_tcp_loop *tcp;
   pw_conn_limits limits;
-  int max; /* connections at once; 0: any number. Those that rest give way */
-  size_t
-      ahead_max; /* bytes read while a request is in progress; 0: as is usual */
-  size_t
-      body_room; /* longest body that there is room for; 0: any that is allowed */
-  int64_t
-      stall_ms; /* a caller that takes nothing for so long is ended; 0: never ... */
-  int64_t
-      stall_whole_ms; /* ... and one that has only whole answers to take; 0: never */
-  int send_bytes; /* that the kernel holds for a caller; 0: as it likes */
-  const pw_tls_keys *keys;          /* callers speak TLS; NULL: they do not */
-  void *arg;                        /* the owner's own */
-  void (*handle)(pw_conn *c);       /* a whole request is there */
-  void (*abandoned)(void *request); /* its caller has gone; may be NULL */
-  void (*resume)(void *request);    /* what was written has left; may be NULL */
+  int max; /* connections at once; 0: any number. Idle ones are closed to make room */
+  size_t ahead_max; /* bytes read ahead during a request; 0: a default */
+  size_t body_room; /* longest body that memory allows now; 0: no such limit */
+
+  /* A connection whose caller reads nothing for so long is reset, ms; 0: never. The first holds
+  ** during a request, the second when only complete answers are left to read. */
+  int64_t stall_ms;
+  int64_t stall_whole_ms;
+  int send_bytes; /* kernel send buffer of a connection; 0: the system's default */
+  const pw_tls_keys *keys;          /* callers use TLS; NULL: plain TCP */
+  void *arg;                        /* for the owner */
+  void (*handle)(pw_conn *c);       /* a complete request has arrived */
+  void (*abandoned)(void *request); /* the caller disconnected; may be NULL */
+  void (*resume)(void *request); /* all output has been written; may be NULL */
 
   pw_conn *first;
   int count;
-  int is_stopping; /* each answer ends its connection */
+  int is_stopping; /* each answer closes its connection */
   ev_io listening;
-  ev_timer again;     /* accept is tried anew then */
-  int nfailed;        /* accepts that failed, since the start ... */
-  int nsaid;          /* ... and as of the last log line of it ... */
-  int64_t said_at;    /* ... which was written then, ms */
-  int64_t nstalled;   /* callers that were ended since they took nothing ... */
-  int64_t stalled_at; /* ... and when a line said so last, ms */
+  ev_timer accept_retry; /* retries accept */
+  int nfailed;           /* failed accepts since the start */
+  int nfailed_logged; /* nfailed as of the latest log line on failed accepts */
+  int64_t failed_logged_at; /* when that line was logged, ms */
+  int64_t nstalled; /* connections reset because the caller read nothing */
+  int64_t stalled_logged_at; /* when such a reset was last logged, ms */
   ev_prepare reap;
   pw_conn *dead;
-  pw_buf chunk; /* the piece being written, of any of them */
+  pw_buf chunk; /* scratch buffer for one chunk, shared by all connections */
 } pw_conns;
 
 /* One connection. */
@@ -61,41 +60,41 @@
   pw_tcp *tcp;
   pw_h1 request;
   pw_buf body;
-  pw_buf ahead;  /* bytes that came while a request is in progress */
-  size_t behind; /* bytes of what is being taken that follow the request */
-  void *state;   /* the handler's own of this request; NULL: none */
-  int is_busy;   /* a request is in progress */
-  int is_taking; /* bytes of it are being read into requests */
-  int is_closed; /* its memory goes at the loop's next turn */
-  int close_next;
-  int is_held_up;   /* its next request waits until the caller has taken more */
-  size_t body_max;  /* of the request that comes */
-  uint64_t taken;   /* bytes that the caller had taken ... */
-  int64_t taken_at; /* ... when that last changed, or nothing waited, ms */
-  int64_t since;    /* when it came to rest, or the head's first byte; ms */
+  pw_buf read_ahead; /* bytes received while a request is in progress */
+  size_t unparsed; /* bytes of the block being parsed that follow the request */
+  void *state;     /* the handler's state of this request; NULL: none */
+  int is_busy;     /* a request is in progress */
+  int is_parsing;  /* a block of received bytes is being parsed */
+  int is_closed;   /* freed in the next iteration of the event loop */
+  int close_next;  /* the answer closes the connection */
+  int is_throttled; /* the next request waits until the caller has read more */
+  size_t body_max;  /* limit of the body being received, bytes */
+  uint64_t written; /* pwtcp_taken when progress was last seen */
+  int64_t progress_at; /* when output last moved, or none was pending, ms */
+  int64_t since; /* when it became idle, or the head's first byte came, ms */
   pw_conn *prev, *next;
 };
 
-/* Accepts on a descriptor that listens, which is taken over. */
+/* Accepts connections on a listening descriptor, which it then owns. */
 void pwconns_start(pw_conns *s, int fd);
 
-/* Closes the listening descriptor; connections go on. */
+/* Closes the listening descriptor; open connections stay. */
 void pwconns_unlisten(pw_conns *s);
 
-/* Closes connections at rest: a planned stop. */
+/* Closes idle connections, for a planned stop. */
 void pwconns_close_idle(pw_conns *s);
 
-/* Ends callers that take nothing, and gives the bytes that are held for all of them. `at`: now, by
-** pwclock_ms, here and below. */
+/* Resets connections whose callers read nothing (stall_ms), and returns the bytes buffered for all
+** others. `at`, here and below: the current pwclock_ms. */
 size_t pwconns_check(pw_conns *s, int64_t at);
 
-/* Closes connections that have rested or dawdled for too long. */
+/* Closes connections that were idle for too long, and refuses requests that arrive too slowly. */
 void pwconns_sweep(pw_conns *s, int64_t at);
 
-/* Breaks off all that is left, and ends. */
+/* Stops listening, resets all connections and frees them. */
 void pwconns_end(pw_conns *s);
 
-/* Answers whole; `lines` are header lines, each with its line end. */
+/* Sends a complete answer; `lines` are header lines, each with its line end. */
 void pwconn_answer(pw_conn *c, int status, const char *lines, const char *body,
                    size_t n);
 
@@ -103,18 +102,18 @@
 void pwconn_refuse(pw_conn *c, pw_code code, const char *message,
                    int64_t retry_ms);
 
-/* Begins an answer whose length is not known, gives pieces of it, ends it. */
+/* Begins an answer of unknown length, sends a piece of its body, ends it. */
 void pwconn_begin(pw_conn *c, int status, const char *lines);
 void pwconn_piece(pw_conn *c, const char *data, size_t n);
 void pwconn_end(pw_conn *c);
 
-/* Breaks off: an answer in progress does not look whole. */
+/* Resets the connection, so that the caller does not take a partial answer for a complete one. */
 void pwconn_break(pw_conn *c);
 
-/* Whether its caller has sent more behind the request in progress. */
+/* Whether the caller has sent bytes after the request in progress (pipelining). */
 int pwconn_has_more(const pw_conn *c);
 
-/* Whether the request is for this path. */
+/* Whether the request's URL is exactly this path. */
 int pwconn_path_is(const pw_conn *c, const char *path);
 
 #endif
--- a/packages/net/pwh1.c
+++ b/packages/net/pwh1.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <strings.h>
 
-/* --- the parser's calls --- */
+/* --- parser callbacks --- */
 
 static int on_url(http_parser *p, const char *at, size_t n) {
   pw_h1 *m = p->data;
@@ -18,7 +18,7 @@
 static int on_field(http_parser *p, const char *at, size_t n) {
   pw_h1 *m = p->data;
   if (m->nheaders == PWH1_HEADERS || memchr(at, ' ', n))
-    return -1; /* others may read a name with a blank in another way */
+    return -1; /* other parsers may read a name with a blank differently */
   m->header[m->nheaders] = (pw_h1_header){.name = at, .nname = n};
   return 0;
 }
@@ -30,7 +30,7 @@
   pw_h1_header *h = &m->header[m->nheaders++];
   h->value = at;
   while (n > 0 && (at[n - 1] == ' ' || at[n - 1] == '\t'))
-    n--; /* blanks that end a line are none of its value */
+    n--; /* trailing blanks are not part of the value */
   h->nvalue = n;
   return 0;
 }
@@ -93,7 +93,8 @@
   m->has_body = m->keep = m->to_eof = m->skip_body = 0;
 }
 
-/* Bytes up to and with the empty line, or 0 while it has not come. */
+/* Length of the head with its empty line, or 0 while that has not arrived. `from`: bytes already
+** searched. */
 static size_t head_end(const pw_buf *b, size_t from) {
   size_t start = from > 3 ? from - 3 : 0;
   const char *p = memmem(b->data + start, b->len - start, "\r\n\r\n", 4);
@@ -106,11 +107,11 @@
   if (e != HPE_OK && e != HPE_PAUSED)
     m->state = PWH1_BAD;
   else if (m->parser.upgrade)
-    m->state = PWH1_BAD; /* no other protocol is spoken here */
+    m->state = PWH1_BAD; /* protocol upgrades are not supported */
 }
 
-static size_t take_head(pw_h1 *m, const char *data, size_t n) {
-  size_t skip = 0; /* empty lines before a message are let pass */
+static size_t feed_head(pw_h1 *m, const char *data, size_t n) {
+  size_t skip = 0; /* empty lines before a message are ignored */
   while (m->head.len == 0 && skip < n && strchr("\r\n", data[skip]) &&
          data[skip])
     skip++;
@@ -137,7 +138,7 @@
 
 size_t pwh1_take(pw_h1 *m, const char *data, size_t n) {
   if (m->state == PWH1_HEAD)
-    return take_head(m, data, n);
+    return feed_head(m, data, n);
   if (m->state != PWH1_BODY || n == 0)
     return 0;
   size_t used;
@@ -171,15 +172,15 @@
   pwbuf_add(out, "\r\n", 2);
 }
 
-/* Whether Connection names this header. */
-static int is_named(const pw_h1 *m, const pw_h1_header *h) {
+/* Whether the Connection header lists this header. */
+static int is_listed_in_connection(const pw_h1 *m, const pw_h1_header *h) {
   const pw_h1_header *c = pwh1_find(m, "Connection");
   if (!c)
     return 0;
   for (size_t i = 0; i + h->nname <= c->nvalue; i++) {
     char after = i + h->nname < c->nvalue ? c->value[i + h->nname] : ',';
-    int begins = i == 0 || c->value[i - 1] == ' ' || c->value[i - 1] == ',';
-    if (begins && (after == ',' || after == ' ') &&
+    int at_start = i == 0 || c->value[i - 1] == ' ' || c->value[i - 1] == ',';
+    if (at_start && (after == ',' || after == ' ') &&
         !strncasecmp(c->value + i, h->name, h->nname))
       return 1;
   }
@@ -193,5 +194,5 @@
   for (size_t i = 0; i < sizeof hop / sizeof hop[0]; i++)
     if (pwh1_is(h, hop[i]))
       return 1;
-  return is_named(m, h);
+  return is_listed_in_connection(m, h);
 }
--- a/packages/net/pwtcp.c
+++ b/packages/net/pwtcp.c
@@ -16,13 +16,15 @@
 #include <sys/uio.h>
 #include <unistd.h>
 
-#define BLOCK (64 * 1024) /* bytes of one read */
-#define BACKLOG 1024
-#define LINGER_MS 3000 /* a peer that takes nothing more may keep a close so */
-#define KEPT_MAX                                                               \
-  (16 * 1024)         /* a larger buffer is given back once it is empty */
-#define DRAIN_MS 1000 /* what a peer still sends is let pass so long */
-#define TURN_MS 500   /* a loop turns as often, by a timer of its owner */
+#define READ_BYTES (64 * 1024) /* bytes of one read */
+#define BACKLOG 1024           /* connections that wait to be accepted */
+#define LINGER_MS                                                              \
+  3000 /* longest that a peer which reads nothing can delay a close */
+#define OUT_RETAIN_MAX                                                         \
+  (16 * 1024) /* a larger output buffer is freed once it is empty, bytes */
+#define DRAIN_MS 1000 /* how long a closing connection discards input */
+#define ITERATION_MAX_MS                                                       \
+  500 /* default of lag.turn_ms: longest iteration without a stall */
 #define MS_PER_S 1000.0
 
 struct pw_tcp {
@@ -32,18 +34,18 @@
   int fd;
   int connecting;
   int closed;
-  int closing;       /* closes when `out` has left ... */
-  ev_timer draining; /* ... and the peer closes too, or time is up */
-  int64_t drains_at; /* since when it drains, by pwtcp_clock */
+  int closing;       /* closes once `out` is written and the peer has closed */
+  ev_timer draining; /* limits the wait for the peer to close */
+  int64_t drain_started_at; /* when that wait began, by pwtcp_clock */
   ev_io rd, wr;
   pw_buf out;
-  size_t out_at;
-  uint64_t taken; /* bytes, of what had to wait */
-  pw_tls *tls;    /* NULL: the bytes are the user's own */
-  pw_tcp *next;   /* of the dead, or of the closing */
+  size_t out_at;    /* bytes of `out` already written */
+  uint64_t written; /* buffered bytes written since the start */
+  pw_tls *tls;      /* NULL: plain TCP */
+  pw_tcp *next;     /* in the list of dead or of closing connections */
 };
 
-/* --- the loop --- */
+/* --- event loop --- */
 
 static void reap(struct ev_loop *ev, ev_prepare *w, int events) {
   (void)ev;
@@ -58,7 +60,7 @@
   }
 }
 
-static void on_turn(struct ev_loop *ev, ev_check *w, int events) {
+static void on_iteration(struct ev_loop *ev, ev_check *w, int events) {
   (void)ev;
   (void)events;
   pw_tcp_loop *l = w->data;
@@ -68,14 +70,15 @@
 }
 
 void pwtcp_loop_init(pw_tcp_loop *l, struct ev_loop *ev) {
-  *l =
-      (pw_tcp_loop){.ev = ev, .block = pw_alloc(BLOCK), .lag.turn_ms = TURN_MS};
+  *l = (pw_tcp_loop){.ev = ev,
+                     .read_buf = pw_alloc(READ_BYTES),
+                     .lag.turn_ms = ITERATION_MAX_MS};
   ev_prepare_init(&l->reap, reap);
-  ev_check_init(&l->turn, on_turn);
-  ev_set_priority(&l->turn, EV_MAXPRI);
-  l->reap.data = l->turn.data = l;
+  ev_check_init(&l->iteration, on_iteration);
+  ev_set_priority(&l->iteration, EV_MAXPRI);
+  l->reap.data = l->iteration.data = l;
   ev_prepare_start(ev, &l->reap);
-  ev_check_start(ev, &l->turn);
+  ev_check_start(ev, &l->iteration);
   ev_unref(ev);
   ev_unref(ev);
 }
@@ -87,8 +90,8 @@
   ev_ref(l->ev);
   ev_ref(l->ev);
   ev_prepare_stop(l->ev, &l->reap);
-  ev_check_stop(l->ev, &l->turn);
-  free(l->block);
+  ev_check_stop(l->ev, &l->iteration);
+  free(l->read_buf);
 }
 
 void pwtcp_timer(pw_tcp_loop *l, ev_timer *w, int64_t ms) {
@@ -130,7 +133,7 @@
   return inet_pton(AF_INET, ip, &out->sin_addr) == 1 ? 0 : -1;
 }
 
-/* --- ends --- */
+/* --- closing --- */
 
 static void unlist_closing(pw_tcp *c) {
   for (pw_tcp **at = &c->l->closing; *at; at = &(*at)->next) {
@@ -167,24 +170,25 @@
     c->calls->ended(c->arg, how);
 }
 
-/* After a standstill what the peer sent meanwhile is let pass first: with bytes unread it would be
-** reset, and lose what it has not taken of its answer. */
+/* After a stall the timer may fire before input that arrived meanwhile is read. Closing with unread
+** input would reset the connection, and the peer would lose the unread part of its answer; so the
+** wait is extended by the stalled time. */
 static void on_drain_timeout(struct ev_loop *ev, ev_timer *w, int events) {
   (void)ev;
   (void)events;
   pw_tcp *c = w->data;
-  int64_t left = c->drains_at + DRAIN_MS - pwtcp_clock(c->l);
+  int64_t left = c->drain_started_at + DRAIN_MS - pwtcp_clock(c->l);
   if (left > 0)
     pwtcp_timer(c->l, w, left);
   else
     pwtcp_close(c, 0);
 }
 
-/* A close with bytes unread would reset, and the peer might lose what was
-** written to it: it is told that no more comes, and its bytes are let pass. */
+/* Half-closes the connection and discards input until the peer closes. A close with unread input
+** would reset the connection, and the peer could lose bytes written to it. */
 static void drain(pw_tcp *c) {
   shutdown(c->fd, SHUT_WR);
-  c->drains_at = pwtcp_clock(c->l);
+  c->drain_started_at = pwtcp_clock(c->l);
   pwtcp_timer(c->l, &c->draining, DRAIN_MS);
   ev_io_start(c->l->ev, &c->rd);
 }
@@ -205,13 +209,13 @@
 
 /* --- reading and writing --- */
 
-/* Bytes of a peer that speaks TLS: gives what they say. */
+/* Decrypts received bytes and delivers the plain text. */
 static void read_tls(pw_tcp *c, size_t n) {
-  pwtls_feed(c->tls, c->l->block, n);
+  pwtls_feed(c->tls, c->l->read_buf, n);
   while (!c->closed && !c->closing) {
-    ssize_t got = pwtls_read(c->tls, c->l->block, BLOCK);
+    ssize_t got = pwtls_read(c->tls, c->l->read_buf, READ_BYTES);
     if (got > 0) {
-      c->calls->data(c->arg, c->l->block, (size_t)got);
+      c->calls->data(c->arg, c->l->read_buf, (size_t)got);
       continue;
     }
     if (got < 0)
@@ -220,22 +224,22 @@
   }
 }
 
-static void take(pw_tcp *c, size_t n) {
+static void deliver(pw_tcp *c, size_t n) {
   if (c->closing)
     return;
   if (c->tls)
     read_tls(c, n);
   else
-    c->calls->data(c->arg, c->l->block, n);
+    c->calls->data(c->arg, c->l->read_buf, n);
 }
 
 static void on_read(struct ev_loop *ev, ev_io *w, int events) {
   (void)ev;
   (void)events;
   pw_tcp *c = w->data;
-  ssize_t n = read(c->fd, c->l->block, BLOCK);
+  ssize_t n = read(c->fd, c->l->read_buf, READ_BYTES);
   if (n > 0) {
-    take(c, (size_t)n);
+    deliver(c, (size_t)n);
   } else if (n == 0) {
     end(c, PWTCP_EOF);
   } else if (errno != EAGAIN && errno != EINTR) {
@@ -247,7 +251,7 @@
   ev_io_stop(c->l->ev, &c->wr);
   c->out.len = 0;
   c->out_at = 0;
-  if (c->out.cap > KEPT_MAX)
+  if (c->out.cap > OUT_RETAIN_MAX)
     pwbuf_free(&c->out);
   if (c->closing)
     drain(c);
@@ -260,7 +264,7 @@
     ssize_t n = write(c->fd, c->out.data + c->out_at, c->out.len - c->out_at);
     if (n > 0) {
       c->out_at += (size_t)n;
-      c->taken += (uint64_t)n;
+      c->written += (uint64_t)n;
       continue;
     }
     if (errno == EINTR)
@@ -307,7 +311,7 @@
     if (done == an + bn)
       return;
   }
-  /* An error shows again when the socket is next writable. */
+  /* A write error shows again when the socket is next writable. */
   if (done < an)
     pwbuf_add(&c->out, (const char *)a + done, an - done);
   size_t skip = done > an ? done - an : 0;
@@ -320,7 +324,7 @@
   write_raw(arg, data, n, NULL, 0);
 }
 
-/* A session at fault shows as the connection's end. */
+/* When the TLS session fails, the connection is shut down, so the owner sees it end. */
 static void write_tls(pw_tcp *c, const void *data, size_t n) {
   if (pwtls_write(c->tls, data, n) != 0)
     shutdown(c->fd, SHUT_RDWR);
@@ -351,10 +355,10 @@
 }
 
 uint64_t pwtcp_taken(const pw_tcp *c) {
-  return c->taken;
+  return c->written;
 }
 
-/* Bytes that wait, one at most; 0: its peer has closed; -1: nothing has come, or it is broken. */
+/* 1: unread bytes wait; 0: the peer has closed; -1: no input, or the connection failed. */
 static ssize_t peek(const pw_tcp *c) {
   char one;
   return c->closed ? -1 : recv(c->fd, &one, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -377,7 +381,7 @@
     ev_io_start(c->l->ev, &c->rd);
 }
 
-/* --- making --- */
+/* --- opening --- */
 
 static pw_tcp *new_conn(pw_tcp_loop *l, int fd, const pw_tcp_calls *calls,
                         void *arg) {
--- a/packages/net/pwtls.c
+++ b/packages/net/pwtls.c
@@ -1,4 +1,4 @@
-/* pwtls.c: the server side of TLS, by GnuTLS. */
+/* pwtls.c: server side of TLS, with GnuTLS. */
 #include "pwtls.h"
 
 #include "pwbuf.h"
@@ -17,8 +17,8 @@
 struct pw_tls {
   gnutls_session_t session;
   pw_tls_keys *keys;
-  pw_buf in; /* of the peer, not yet taken by the session */
-  int is_up; /* the handshake is over */
+  pw_buf in; /* encrypted input not yet read by the session */
+  int is_up; /* the handshake is done */
   void (*send)(void *arg, const void *data, size_t n);
   void *arg;
 };
@@ -46,7 +46,7 @@
   return NULL;
 }
 
-/* --- the session's transport --- */
+/* --- transport callbacks --- */
 
 static ssize_t pull(gnutls_transport_ptr_t ptr, void *buf, size_t cap) {
   pw_tls *t = ptr;
@@ -75,7 +75,7 @@
   t->arg = arg;
   if (gnutls_init(&t->session, GNUTLS_SERVER | GNUTLS_NONBLOCK) !=
       GNUTLS_E_SUCCESS)
-    abort(); /* no memory is left, as in pw_alloc */
+    abort(); /* out of memory, as in pw_alloc */
   atomic_fetch_add(&t->keys->refs, 1);
   gnutls_set_default_priority(t->session);
   gnutls_credentials_set(t->session, GNUTLS_CRD_CERTIFICATE, k->cred);
@@ -94,29 +94,29 @@
   free(t);
 }
 
-/* --- bytes --- */
+/* --- reading and writing --- */
 
 void pwtls_feed(pw_tls *t, const void *data, size_t n) {
   pwbuf_add(&t->in, data, n);
 }
 
-static int is_passing(ssize_t rc) {
+static int is_transient(ssize_t rc) {
   return rc == GNUTLS_E_AGAIN || rc == GNUTLS_E_INTERRUPTED;
 }
 
-/* 1 when there is a session, 0 not yet, -2 there will be none. */
-static int shake_hands(pw_tls *t) {
+/* 1: the session is established, 0: not yet, -2: the handshake failed. */
+static int handshake(pw_tls *t) {
   if (t->is_up)
     return 1;
   int rc = gnutls_handshake(t->session);
   t->is_up = rc == GNUTLS_E_SUCCESS;
   if (t->is_up)
     return 1;
-  return is_passing(rc) || !gnutls_error_is_fatal(rc) ? 0 : -2;
+  return is_transient(rc) || !gnutls_error_is_fatal(rc) ? 0 : -2;
 }
 
 ssize_t pwtls_read(pw_tls *t, void *buf, size_t cap) {
-  int up = shake_hands(t);
+  int up = handshake(t);
   if (up <= 0)
     return up;
   ssize_t n = gnutls_record_recv(t->session, buf, cap);
@@ -124,14 +124,14 @@
     return n;
   if (n == 0)
     return -1;
-  return is_passing(n) || !gnutls_error_is_fatal((int)n) ? 0 : -2;
+  return is_transient(n) || !gnutls_error_is_fatal((int)n) ? 0 : -2;
 }
 
 int pwtls_write(pw_tls *t, const void *data, size_t n) {
   const char *p = data;
   while (t->is_up && n > 0) {
     ssize_t done = gnutls_record_send(t->session, p, n);
-    if (is_passing(done))
+    if (is_transient(done))
       continue;
     if (done <= 0)
       return -1;
--- a/packages/net/pwtls.h
+++ b/packages/net/pwtls.h
@@ -1,5 +1,5 @@
-/* pwtls.h: the server side of TLS (GnuTLS) between a connection's bytes and those
-** of its user. No I/O of its own. */
+/* pwtls.h: server side of TLS (GnuTLS). Translates between encrypted bytes of a connection and
+** plain text; the caller does the I/O. */
 #ifndef PWTLS_H
 #define PWTLS_H
 
@@ -9,28 +9,28 @@
 typedef struct pw_tls pw_tls;
 typedef struct pw_tls_keys pw_tls_keys;
 
-/* Reads a certificate and its key, PEM files; NULL if they are none. Connections
-** hold what they use: it may be dropped while they go on. */
+/* Loads a certificate and its key from PEM files; NULL when they cannot be read or do not match.
+** Each connection holds a reference, so the keys may be released while connections go on. */
 pw_tls_keys *pwtls_keys(const char *cert, const char *key);
 void pwtls_keys_drop(pw_tls_keys *k);
 
-/* One connection; `send` takes bytes for the peer. */
+/* Session of one connection; `send` sends encrypted bytes to the peer. */
 pw_tls *pwtls_new(const pw_tls_keys *k,
                   void (*send)(void *arg, const void *data, size_t n),
                   void *arg);
 void pwtls_free(pw_tls *t);
 
-/* Bytes of the peer. */
+/* Adds encrypted bytes received from the peer. */
 void pwtls_feed(pw_tls *t, const void *data, size_t n);
 
-/* What they say: bytes read, 0 none yet, -1 the peer ended in order, -2 this is no
-** TLS, or another fault. */
+/* Reads plain text: >0 bytes read, 0 none yet, -1 the peer closed the session, -2 the input is not
+** TLS, or the session failed. */
 ssize_t pwtls_read(pw_tls *t, void *buf, size_t cap);
 
-/* Writes; -1 before there is a session, or when it is at fault. */
+/* Encrypts and sends; returns 0, or -1 before the handshake is done or when the session failed. */
 int pwtls_write(pw_tls *t, const void *data, size_t n);
 
-/* Tells the peer that no more comes. */
+/* Sends close_notify: no more data follows. */
 void pwtls_bye(pw_tls *t);
 
 #endif
--- a/tests/pwports.h
+++ b/tests/pwports.h
@@ -8,7 +8,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A port that is free at the address now. */
+/* A port that is free on the address at the time of the call, or -1. */
 static inline int test_free_port(in_addr_t at_addr) {
   struct sockaddr_in at = {.sin_family = AF_INET,
                            .sin_addr.s_addr = htonl(at_addr)};
@@ -20,7 +20,7 @@
   return rc == 0 ? ntohs(at.sin_port) : -1;
 }
 
-/* Listens on a free port of loopback, which is put into `at`; the descriptor. */
+/* Listens on a free loopback port; sets *at and returns the descriptor. */
 static inline int test_listen(struct sockaddr_in *at) {
   socklen_t len = sizeof *at;
   pwtcp_address("127.0.0.1:0", at);
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -1,14 +1,14 @@
-/* test_h1.c: HTTP/1 messages, and what the platform says in them. */
+/* test_h1.c: the HTTP/1 parser, and the platform's headers and calls. */
 #include "platform.h"
 #include "pwtest.h"
 
 #include <string.h>
 
-static void gather(void *arg, const char *data, size_t n) {
+static void append_body(void *arg, const char *data, size_t n) {
   pwbuf_add(arg, data, n);
 }
 
-/* Feeds text in pieces of `step`; gives the bytes used. */
+/* Feeds text in pieces of `step` bytes; returns the bytes used. */
 static size_t feed(pw_h1 *m, const char *text, size_t step) {
   size_t at = 0, n = strlen(text);
   while (at < n && m->state != PWH1_DONE && m->state != PWH1_BAD &&
@@ -32,7 +32,7 @@
     pw_buf body = {0};
     pwh1_init(&m, HTTP_REQUEST, 1000);
     m.arg = &body;
-    m.on_body = gather;
+    m.on_body = append_body;
     size_t used = feed(&m, two, step);
     CHECK(m.state == PWH1_DONE && m.nurl == 2 && !memcmp(m.url, "/a", 2));
     CHECK(body.len == 3 && !memcmp(body.data, "abc", 3));
@@ -55,7 +55,7 @@
   return s;
 }
 
-/* What could hide one request in another is refused. */
+/* Refuses messages that could hide one request in another (request smuggling). */
 static void test_smuggling(void) {
   static const char *const bad[] = {
       ("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n"
@@ -79,7 +79,7 @@
   pw_buf body = {0};
   pwh1_init(&m, HTTP_RESPONSE, 1000);
   m.arg = &body;
-  m.on_body = gather;
+  m.on_body = append_body;
   feed(&m, "HTTP/1.1 200 OK\r\n\r\nabc", 5);
   CHECK(m.state == PWH1_BODY && m.to_eof);
   pwh1_eof(&m);
@@ -95,7 +95,7 @@
   pwbuf_free(&body);
 }
 
-static void test_heads(void) {
+static void test_platform_headers(void) {
   pw_h1 m;
   pw_ask ask;
   pw_told told;
@@ -136,8 +136,8 @@
   pwh1_free(&m);
 }
 
-/* How long a target asks to be left alone: whatever is no plain number of seconds says nothing, of
-** two lines the longer counts. */
+/* Retry-After of a target: anything but a plain number of seconds counts as absent; of two lines
+** the longer time counts. */
 static void test_hold_off(void) {
   static const struct {
     const char *lines;
@@ -177,7 +177,7 @@
   }
 }
 
-/* A target that leaves says so in its answers. */
+/* A target that is leaving says so in its answers. */
 static void test_leaving(void) {
   static const char *const lines[] = {"", "Server-Leaving: 0\r\n",
                                       "Server-Leaving: 1\r\n",
@@ -221,7 +221,7 @@
   TEST(test_h1);
   TEST(test_smuggling);
   TEST(test_h1_answers);
-  TEST(test_heads);
+  TEST(test_platform_headers);
   TEST(test_hold_off);
   TEST(test_leaving);
   TEST(test_calls);
