--- a/packages/site/pwdialect.h
+++ b/packages/site/pwdialect.h
@@ -1,7 +1,7 @@
-/* pwdialect.h: how a platform speaks, as a table of functions.
+/* pwdialect.h: interface to a platform's protocol, as a table of functions.
 **
-** A dialect reads names, formats and calls into these types and writes them
-** back. It decides nothing, keeps no state and does no I/O. */
+** A dialect translates the platform's header names, formats and calls to and from these types. It
+** makes no decisions, keeps no state and does no I/O. */
 #ifndef PWDIALECT_H
 #define PWDIALECT_H
 
@@ -13,69 +13,70 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define PWASK_PARTS 32 /* parts of a prompt that are read */
+/* Parts of a prompt that are read; further ones are ignored. */
+#define PWASK_PARTS 32
 
-/* One part of a prompt. */
+/* One part of a prompt, as the caller names it. */
 typedef struct pw_ask_part {
   uint64_t id;
   uint32_t tokens;
 } pw_ask_part;
 
-/* What a caller's request says of itself. */
+/* What the headers of a caller's request say. Spans point into the request's head. */
 typedef struct pw_ask {
   pw_span id;
   pw_span host;
   pw_span key;
-  pw_span last_event;  /* of a stream that is taken up again */
-  int64_t deadline_ms; /* how long the caller waits; -1: not said */
+  pw_span last_event;  /* last event received of a stream that is resumed */
+  int64_t deadline_ms; /* how long the caller waits; -1: not given */
   uint32_t prompt_tokens;
-  uint32_t output_tokens; /* most it may generate */
-  uint32_t output_guess;  /* the caller's guess; 0: none */
+  uint32_t output_tokens; /* most tokens it may generate */
+  uint32_t output_guess;  /* tokens that the caller expects; 0: not given */
   pw_ask_part part[PWASK_PARTS];
   int nparts;
 } pw_ask;
 
-/* What a gateway adds to a request that it sends on. */
+/* What a gateway adds to a request that it forwards. */
 typedef struct pw_forward {
-  const char *target;    /* id that the target must have */
+  const char *target; /* id of the target; any other must refuse the request */
   const char *workspace; /* name, or NULL */
-  int64_t deadline_ms;   /* what is left */
-  int urgency;           /* class from 0, first, to 9; -1: not said */
-  pw_span last_event;    /* events up to this one are not wanted */
+  int64_t deadline_ms;   /* time left */
+  int urgency;        /* urgency class, 0 (most urgent) to 9; -1: not given */
+  pw_span last_event; /* the stream resumes after this event */
   const char
       *fetch_from; /* address of a target that holds the prompt, or NULL */
 } pw_forward;
 
-/* What a target's answer says beside its status. */
+/* What the headers of a target's answer say. */
 typedef struct pw_told {
   int is_mine;         /* it carries the id of the request */
   int not_run;         /* the request has not run there and will not */
   int is_whole;        /* it carries the target's signature */
-  int is_leaving;      /* the target leaves */
-  int64_t hold_off_ms; /* it wants nothing from this instance for so long; 0: it
-                       ** does not say */
+  int is_leaving;      /* the target is leaving */
+  int64_t hold_off_ms; /* the target asks this instance for no requests for so
+                       ** long; 0: not given */
   int has_load;
   int running, waiting, slots;
 } pw_told;
 
-/* A start that an instance of an older version told of, which knows nothing of starts: the one
-** that is known. */
+/* Start time in a heartbeat that an instance of an older version forwarded, which does not know the
+** field: it stands for the incarnation that is already known. */
 #define PW_BORN_UNTOLD UINT64_MAX
 
-/* A target's heartbeat. Id and start name one incarnation of it: one that starts again under its
-** id knows nothing of before. */
+/* A target's heartbeat. Id and start time name one incarnation of the target: after a restart under
+** the same id it has lost its requests and its cache. */
 typedef struct pw_beat {
   char id[PW_NAME_MAX];
-  uint64_t born; /* when it started, Unix ms; 0: it did not say, which is before
-                 ** all that did */
+  uint64_t born; /* start time, Unix ms; 0: not given, which counts as older
+                 ** than any given time */
   char service[PW_NAME_MAX];
-  char address[PW_NAME_MAX];           /* IP:PORT */
-  char availability_zone[PW_NAME_MAX]; /* availability zone */
-  char version[PW_NAME_MAX];           /* of its software */
-  int slots;
+  char address[PW_NAME_MAX]; /* IP:PORT */
+  char availability_zone[PW_NAME_MAX];
+  char version[PW_NAME_MAX]; /* of its software */
+  int slots;                 /* requests that it runs at once */
   int leaving;
-  int64_t cold_ms; /* how much longer it is slow from its start */
-  uint64_t seq;    /* rises with each of one start */
+  int64_t cold_ms; /* time left in which it is slow after its start */
+  uint64_t seq;    /* rises with each heartbeat of one incarnation */
 } pw_beat;
 
 /* Calls to a control instance. */
@@ -84,75 +85,75 @@
   PWCALL_SITE_READ,
   PWCALL_SITE_WRITE,
   PWCALL_BEAT,
-  PWCALL_LEAVE,        /* a target ends */
-  PWCALL_EVACUATE,     /* an availability zone is to be evacuated ... */
-  PWCALL_EVACUATE_END, /* ... or is taken back */
-  PWCALL_ROLLOUT, /* a service is to be rolled out to another version ... */
-  PWCALL_ROLLOUT_READ, /* ... and where that stands */
+  PWCALL_LEAVE,        /* a target deregisters */
+  PWCALL_EVACUATE,     /* evacuate an availability zone */
+  PWCALL_EVACUATE_END, /* end the evacuation of an availability zone */
+  PWCALL_ROLLOUT,      /* roll a service out to another version */
+  PWCALL_ROLLOUT_READ, /* read the state of a rollout */
   PWCALL_BAD_METHOD
 } pw_call_kind;
 
-/* An order to roll a service out to targets of another version. */
+/* An order to roll a service out to another version. */
 typedef struct pw_rollout_order {
   char service[PW_NAME_MAX];
   char version[PW_NAME_MAX];
-  int64_t over_ms; /* it is to be over by then */
+  int64_t over_ms; /* time limit of the rollout */
 } pw_rollout_order;
 
-/* Where that stands, for those who ask. */
+/* State of a rollout. */
 typedef enum pw_rollout_stage {
   PWROLLOUT_RUNNING,
   PWROLLOUT_COMPLETE,
   PWROLLOUT_REVERTED
 } pw_rollout_stage;
 
-/* A configuration document that is being read. */
+/* A configuration document that is being parsed in steps. */
 typedef struct pw_reading pw_reading;
 
 typedef struct pw_dialect {
   void (*read_request)(const pw_h1 *m, pw_ask *out);
 
-  /* Whether a caller's header goes on to the target as it is. */
+  /* Whether a caller's header is forwarded unchanged to the target. */
   int (*passes)(const pw_h1_header *h);
 
-  /* Appends header lines. */
+  /* Appends the header lines of *f. */
   void (*write_forward)(pw_buf *out, const pw_forward *f);
 
   void (*read_answer)(const pw_h1 *m, const pw_ask *ask, pw_told *out);
 
-  /* Kind of a call; id[PW_NAME_MAX] is the target, or the availability zone, that it is
-  ** about. */
+  /* Kind of a call; id[PW_NAME_MAX] receives the target or availability zone that it names. */
   pw_call_kind (*read_call)(const char *method, const char *path, char *id);
 
-  /* Reads a configuration document; PW_E_BODY or PW_E_SCHEMA with a reason. */
+  /* Parses a configuration document; PW_E_BODY or PW_E_SCHEMA with a reason in `why`. */
   pw_code (*read_site)(const char *text, size_t n, pw_site **out, char *why,
                        size_t cap);
 
-  /* The same in steps, for who has other work meanwhile. What is as it was in
-  ** `before` (or NULL), which must stay, is not parsed again; `text` is copied. */
+  /* The same in steps, so that the event loop can serve requests in between. Routes unchanged
+  ** since `before` (or NULL) are copied from it and not parsed again; it must stay valid. `text` is
+  ** copied. */
   pw_reading *(*begin_site)(const char *text, size_t n, const pw_site *before);
 
-  /* Parses at most so many routes. With *out NULL and PW_OK there is more to do. */
+  /* Parses at most `routes` more routes. PW_OK with *out NULL: there is more to do. */
   pw_code (*step_site)(pw_reading *r, int routes, pw_site **out, char *why,
                        size_t cap);
   void (*end_site)(pw_reading *r);
 
-  /* With a reason, what names no target to use: PW_E_BODY, it cannot be read; PW_E_SCHEMA, a
-  ** field that is needed is missing, or one is of another type or out of its range. */
+  /* Parses a heartbeat. Errors, with a reason in `why`: PW_E_BODY, it is not JSON; PW_E_SCHEMA, a
+  ** required field is missing, or a field has the wrong type or is out of range. */
   pw_code (*read_beat)(const char *id, const char *text, size_t n, pw_beat *out,
                        char *why, size_t cap);
 
-  /* The same of what a target says as it ends, which may be nothing. */
+  /* The same for the body of a target's deregistration, which may be empty. */
   pw_code (*read_leave)(const char *id, const char *text, size_t n,
                         pw_beat *out, char *why, size_t cap);
 
-  /* With a reason, as read_beat. */
+  /* Parses a rollout order; errors as with read_beat. */
   pw_code (*read_rollout)(const char *text, size_t n, pw_rollout_order *out,
                           char *why, size_t cap);
   void (*write_rollout)(pw_buf *out, const char *version,
                         pw_rollout_stage stage);
 
-  /* Path that the platform asks for readiness. */
+  /* Path of the platform's readiness probe. */
   const char *ready_path;
 } pw_dialect;
 
--- a/packages/site/pwsite.c
+++ b/packages/site/pwsite.c
@@ -1,4 +1,4 @@
-/* pwsite.c: the configuration of a gateway: checks and look-ups. */
+/* pwsite.c: the configuration of a gateway: validation and lookups. */
 #include "pwsite.h"
 
 #include "pwbuf.h"
@@ -13,12 +13,14 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-#define PLACE_MAX 4096 /* bytes of a host and a path that are looked up */
+/* Bytes of host and path used in a lookup: a longer path is cut, a longer host has no route. */
+#define HOST_PATH_MAX 4096
 
-/* Steps of reading: parsing this many routes takes under 0.4 ms (measured); a document
-** is read in so many steps about, by the usual length of a route. */
-#define STEP_LEAST 24
-#define STEPS_MOST 25
+/* Fewest routes parsed in one step, which takes under 0.4 ms. */
+#define STEP_ROUTES_MIN 24
+
+/* Approximate bound on the steps of one document, by the typical bytes of a route. */
+#define STEPS_MAX 25
 #define ROUTE_BYTES 300
 
 typedef struct row {
@@ -36,10 +38,10 @@
 struct pw_site {
   int refs;
   pw_site_parts p;
-  row *place_rows, *key_rows; /* storage */
-  row *places, *keys;         /* hashes */
+  row *route_rows, *key_rows;              /* storage */
+  row *routes_by_host_path, *keys_by_text; /* hashes */
   source_row *source_rows;
-  source_row *sources;
+  source_row *routes_by_source;
 };
 
 void pwsite_free_parts(pw_site_parts *p) {
@@ -63,28 +65,28 @@
   *p = (pw_site_parts){0};
 }
 
-/* --- checks --- */
+/* --- validation --- */
 
 static const char *check_route(const pw_site_parts *p, const pw_site_route *r) {
   const char *slash = strchr(r->place, '/');
   if (!slash || slash == r->place)
-    return "a host and a path prefix are needed";
+    return "a host and a path prefix are required";
   if (r->place[strlen(r->place) - 1] != '/')
-    return "a path prefix ends with a slash";
+    return "the path prefix must end with a slash";
   if (r->timeout_ms <= 0)
-    return "the time-out must be above 0";
+    return "the timeout must be above 0";
   if (r->attempts < 1)
     return "attempts must be above 0";
   if (r->nweighted == 0)
-    return "a service is needed";
+    return "at least one service is required";
   if (!isfinite(r->weight) || r->weight <= 0)
     return "the weights must sum to more than 0";
   for (int i = 0; i < r->nweighted; i++)
     if (r->weighted[i].service < 0 || r->weighted[i].service >= p->nservices)
-      return "it names an unknown service";
+      return "it refers to an unknown service";
   for (int i = 0; i < r->nweighted; i++)
     if (!(r->weighted[i].weight >= 0))
-      return "a weight is below 0";
+      return "a weight is negative";
   return NULL;
 }
 
@@ -95,24 +97,25 @@
 }
 
 static pw_code index_routes(pw_site *s, char *why, size_t cap) {
-  s->place_rows = pw_alloc(sizeof(row) * (size_t)(s->p.nroutes + 1));
+  s->route_rows = pw_alloc(sizeof(row) * (size_t)(s->p.nroutes + 1));
   for (int i = 0; i < s->p.nroutes; i++) {
     const pw_site_route *r = &s->p.route[i];
     const char *reason = check_route(&s->p, r);
     if (reason)
       return refuse(why, cap, "route", r->name, reason);
-    row *old, *one = &s->place_rows[i];
+    row *old, *one = &s->route_rows[i];
     *one = (row){.text = r->place, .index = i};
-    HASH_FIND_STR(s->places, one->text, old);
+    HASH_FIND_STR(s->routes_by_host_path, one->text, old);
     if (old)
       return refuse(why, cap, "route", r->name,
-                    "another has the same host and prefix");
-    HASH_ADD_KEYPTR(hh, s->places, one->text, strlen(one->text), one);
+                    "another route has the same host and path prefix");
+    HASH_ADD_KEYPTR(hh, s->routes_by_host_path, one->text, strlen(one->text),
+                    one);
   }
   return PW_OK;
 }
 
-/* Of two routes of one text the first counts: they are alike. */
+/* Routes parsed from the same text are equal; the first one is indexed. */
 static void index_sources(pw_site *s) {
   s->source_rows = pw_alloc(sizeof(source_row) * (size_t)(s->p.nroutes + 1));
   for (int i = 0; i < s->p.nroutes; i++) {
@@ -120,9 +123,9 @@
     *one = (source_row){.source = s->p.route[i].source, .index = i};
     if (!one->source.high && !one->source.low)
       continue;
-    HASH_FIND(hh, s->sources, &one->source, sizeof one->source, old);
+    HASH_FIND(hh, s->routes_by_source, &one->source, sizeof one->source, old);
     if (!old)
-      HASH_ADD(hh, s->sources, source, sizeof one->source, one);
+      HASH_ADD(hh, s->routes_by_source, source, sizeof one->source, one);
   }
 }
 
@@ -134,11 +137,12 @@
     *one = (row){.text = s->p.key[i], .index = s->p.key_workspace[i]};
     if (!one->text[0])
       return refuse(why, cap, "workspace", owner, "a key is empty");
-    HASH_FIND_STR(s->keys, one->text, old);
+    HASH_FIND_STR(s->keys_by_text, one->text, old);
     if (old && old->index != one->index)
-      return refuse(why, cap, "workspace", owner, "another has the same key");
+      return refuse(why, cap, "workspace", owner,
+                    "another workspace has the same key");
     if (!old)
-      HASH_ADD_KEYPTR(hh, s->keys, one->text, strlen(one->text), one);
+      HASH_ADD_KEYPTR(hh, s->keys_by_text, one->text, strlen(one->text), one);
   }
   return PW_OK;
 }
@@ -148,12 +152,12 @@
     for (int j = 0; j < i; j++)
       if (!strcmp(p->service[i].name, p->service[j].name))
         return refuse(why, cap, "service", p->service[i].name,
-                      "another has the same name");
+                      "another service has the same name");
   for (int i = 0; i < p->nworkspaces; i++)
     for (int j = 0; j < i; j++)
       if (!strcmp(p->workspace[i].name, p->workspace[j].name))
         return refuse(why, cap, "workspace", p->workspace[i].name,
-                      "another has the same name");
+                      "another workspace has the same name");
   return PW_OK;
 }
 
@@ -161,15 +165,16 @@
   if (l->header_bytes > 0 && l->body_bytes >= 0 && l->header_timeout_ms > 0 &&
       l->idle_timeout_ms > 0)
     return PW_OK;
-  return refuse(why, cap, "limits", "", "each must be above 0");
+  return refuse(why, cap, "limits", "",
+                "each must be above 0, the body limit at least 0");
 }
 
 static void free_site(pw_site *s) {
-  HASH_CLEAR(hh, s->places);
-  HASH_CLEAR(hh, s->keys);
-  HASH_CLEAR(hh, s->sources);
+  HASH_CLEAR(hh, s->routes_by_host_path);
+  HASH_CLEAR(hh, s->keys_by_text);
+  HASH_CLEAR(hh, s->routes_by_source);
   free(s->source_rows);
-  free(s->place_rows);
+  free(s->route_rows);
   free(s->key_rows);
   pwsite_free_parts(&s->p);
   free(s);
@@ -182,7 +187,7 @@
   *parts = (pw_site_parts){0};
   pw_code rc = PW_OK;
   if (s->p.version == 0)
-    rc = refuse(why, cap, "version", "", "a number above 0 is needed");
+    rc = refuse(why, cap, "version", "", "a number above 0 is required");
   if (rc == PW_OK)
     rc = check_names(&s->p, why, cap);
   if (rc == PW_OK)
@@ -210,7 +215,7 @@
     free_site(s);
 }
 
-/* --- what a later document is read with --- */
+/* --- reuse by the parser of the next document --- */
 
 pw_site_source pwsite_source(const char *text, size_t n) {
   XXH128_hash_t hash = XXH3_128bits(text, n);
@@ -220,7 +225,7 @@
 int pwsite_copy_route(const pw_site *s, pw_site_source source,
                       pw_site_route *out) {
   source_row *found;
-  HASH_FIND(hh, s->sources, &source, sizeof source, found);
+  HASH_FIND(hh, s->routes_by_source, &source, sizeof source, found);
   if (!found)
     return 0;
   *out = s->p.route[found->index];
@@ -235,13 +240,13 @@
 }
 
 int pwsite_routes_a_step(size_t bytes, int is_first) {
-  size_t routes = bytes / ROUTE_BYTES / STEPS_MOST;
+  size_t routes = bytes / ROUTE_BYTES / STEPS_MAX;
   if (is_first || routes > INT_MAX)
     return INT_MAX;
-  return routes > STEP_LEAST ? (int)routes : STEP_LEAST;
+  return routes > STEP_ROUTES_MIN ? (int)routes : STEP_ROUTES_MIN;
 }
 
-/* --- look-ups --- */
+/* --- lookups --- */
 
 uint64_t pwsite_version(const pw_site *s) {
   return s->p.version;
@@ -259,23 +264,23 @@
 const pw_site_route *pwsite_route(const pw_site *s, const char *host,
                                   size_t nhost, const char *path,
                                   size_t npath) {
-  char place[PLACE_MAX];
+  char host_path[HOST_PATH_MAX];
   const char *query = memchr(path, '?', npath);
   if (query)
     npath = (size_t)(query - path);
   nhost = host_length(host, nhost);
-  if (nhost >= sizeof place)
+  if (nhost >= sizeof host_path)
     return NULL;
   for (size_t i = 0; i < nhost; i++)
-    place[i] = (char)tolower((unsigned char)host[i]);
-  if (npath > sizeof place - nhost) /* no prefix is as long as that */
-    npath = sizeof place - nhost;
-  memcpy(place + nhost, path, npath);
+    host_path[i] = (char)tolower((unsigned char)host[i]);
+  if (npath > sizeof host_path - nhost) /* prefixes are shorter than that */
+    npath = sizeof host_path - nhost;
+  memcpy(host_path + nhost, path, npath);
   for (size_t n = nhost + npath; n > nhost; n--) {
     row *found;
-    if (place[n - 1] != '/')
+    if (host_path[n - 1] != '/')
       continue;
-    HASH_FIND(hh, s->places, place, n, found);
+    HASH_FIND(hh, s->routes_by_host_path, host_path, n, found);
     if (found)
       return &s->p.route[found->index];
   }
@@ -285,7 +290,7 @@
 const pw_site_workspace *pwsite_workspace(const pw_site *s, const char *key,
                                           size_t nkey) {
   row *found;
-  HASH_FIND(hh, s->keys, key, nkey, found);
+  HASH_FIND(hh, s->keys_by_text, key, nkey, found);
   return found ? &s->p.workspace[found->index] : NULL;
 }
 
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -1,4 +1,4 @@
-/* test_site.c: configuration documents of gateways. */
+/* test_site.c: configuration documents of gateways: parsing, validation, route lookup. */
 #include "platform.h"
 #include "pwtest.h"
 
@@ -44,7 +44,7 @@
   CHECK(route(s, "a.example", "/x") == NULL);
   CHECK(route(s, "a.example", "") == NULL);
   CHECK(route(s, "b.example", "/x/1") == NULL);
-  CHECK(pwsite_route(s, NULL, 0, "/x/1", 4) == NULL); /* no host was named */
+  CHECK(pwsite_route(s, NULL, 0, "/x/1", 4) == NULL); /* no Host header */
   CHECK(route(s, "a.example", "/x/y/")->kind == PWSITE_SAFE);
   CHECK(!strcmp(pwsite_workspace(s, "k2", 2)->name, "t1"));
   CHECK(pwsite_workspace(s, "k", 1) == NULL);
@@ -95,14 +95,14 @@
     CHECK(read_site(text, &s) != PW_OK && s == NULL);
     free(text);
   }
-  for (size_t n = 0; n < strlen(SITE); n++) { /* cut short anywhere */
+  for (size_t n = 0; n < strlen(SITE); n++) { /* truncated at any byte */
     char *text = pw_memdup(SITE, n);
     CHECK(read_site(text, &s) == PW_E_BODY);
     free(text);
   }
 }
 
-/* A document of n routes, of which one has this time-out and one more is there. */
+/* A document of n routes; the middle one has this timeout. */
 static char *long_site(int version, int n, int timeout) {
   pw_buf b = {0};
   pwbuf_fmt(&b, "{\"version\":%d,\"routes\":[", version);
@@ -116,7 +116,7 @@
   return pwbuf_take(&b);
 }
 
-/* Reads in steps of so many routes; gives how many steps it took. */
+/* Parses in steps of so many routes; returns the number of steps. */
 static int read_steps(const char *text, int routes, const pw_site *before,
                       pw_site **out) {
   char why[100];
@@ -132,16 +132,16 @@
   return steps;
 }
 
-/* A long document takes many short steps, a change to it one; what comes out is the
-** same as when it is read whole. */
-static void test_reading(void) {
+/* A long document takes many steps, an update with few changes one; the result is the same as when
+** it is parsed at once. */
+static void test_parse_in_steps(void) {
   enum { ROUTES = 450, A_STEP = 24 };
   char *first = long_site(1, ROUTES, 7), *second = long_site(2, ROUTES + 1, 8);
   pw_site *one, *two, *whole;
   CHECK(read_steps(first, A_STEP, NULL, &one) == ROUTES / A_STEP + 1);
   CHECK(read_steps(second, A_STEP, one, &two) == 1);
   CHECK(read_site(second, &whole) == PW_OK);
-  pwsite_drop(one); /* what was taken over from it stays */
+  pwsite_drop(one); /* routes copied from it stay valid */
   for (int i = 0; i <= ROUTES; i++) {
     char path[16];
     snprintf(path, sizeof path, "/p%d/", i);
@@ -152,7 +152,7 @@
     CHECK(!strcmp(pwsite_draw_service(two, a, 0)->name,
                   pwsite_draw_service(whole, b, 0)->name));
   }
-  /* Services in another order: no route is as it was. */
+  /* With services in another order no route can be reused. */
   char *moved = edited(second, "{\"name\":\"s1\"},{\"name\":\"s2\"}",
                        "{\"name\":\"s2\"},{\"name\":\"s1\"}");
   CHECK(read_steps(moved, A_STEP, two, &one) > 1);
@@ -166,8 +166,8 @@
   free(moved);
 }
 
-/* Steps are short for a usual document, few for any; the first one is read at once. */
-static void test_steps(void) {
+/* Steps are short for a typical document and few for any; a first document takes one step. */
+static void test_step_size(void) {
   CHECK(pwsite_routes_a_step(1000, 0) == 24);
   CHECK(pwsite_routes_a_step(132000, 0) == 24);
   CHECK(pwsite_routes_a_step(132000, 1) > 1000000);
@@ -177,8 +177,9 @@
   }
 }
 
-/* What is JSON at all is so by jansson, that reads the whole at once. */
-static void test_reading_naive(void) {
+/* With random edits, the parser accepts as JSON just what jansson accepts when it parses the
+** document at once. */
+static void test_json_as_jansson(void) {
   pw_random r = {.seed = test_seed(15)};
   size_t n = strlen(SITE);
   int good = 0;
@@ -201,8 +202,8 @@
   CHECK(good > 100);
 }
 
-/* The longest prefix by the definition: every route is looked at. */
-static int naive_route(char prefix[][24], int n, const char *path) {
+/* Reference lookup of the longest prefix: compares every route. */
+static int reference_route(char prefix[][24], int n, const char *path) {
   int best = -1;
   for (int i = 0; i < n; i++)
     if (!strncmp(path, prefix[i], strlen(prefix[i])) &&
@@ -222,17 +223,17 @@
   *out = 0;
 }
 
-static void test_routes_naive(void) {
+static void test_routes_against_reference(void) {
   pw_random r = {.seed = test_seed(11)};
   char prefix[12][24], path[24];
   pw_buf text = {0};
   int n = 0;
   for (int i = 0; i < 12; i++) {
     random_path(&r, prefix[n], 1);
-    int twice = 0;
+    int is_duplicate = 0;
     for (int k = 0; k < n; k++)
-      twice |= !strcmp(prefix[k], prefix[n]);
-    n += !twice;
+      is_duplicate |= !strcmp(prefix[k], prefix[n]);
+    n += !is_duplicate;
   }
   pwbuf_str(&text,
             "{\"version\":1,\"services\":[{\"name\":\"s\"}],\"routes\":[");
@@ -246,7 +247,7 @@
   CHECK(read_site(text.data, &s) == PW_OK);
   for (int i = 0; s && i < 5000; i++) {
     random_path(&r, path, 0);
-    int want = naive_route(prefix, n, path);
+    int want = reference_route(prefix, n, path);
     const pw_site_route *got = route(s, "h", path);
     CHECK((got ? atoi(got->name) : -1) == want);
   }
@@ -258,9 +259,9 @@
   TESTS_BEGIN("site");
   TEST(test_site);
   TEST(test_bad_sites);
-  TEST(test_reading);
-  TEST(test_steps);
-  TEST(test_reading_naive);
-  TEST(test_routes_naive);
+  TEST(test_parse_in_steps);
+  TEST(test_step_size);
+  TEST(test_json_as_jansson);
+  TEST(test_routes_against_reference);
   TESTS_END();
 }
