--- a/packages/core/pwbuf.c
+++ b/packages/core/pwbuf.c
@@ -1,4 +1,4 @@
-/* pwbuf.c: a growable byte buffer, and memory that is there or ends us. */
+/* pwbuf.c: a growable byte buffer, and allocation that aborts when out of memory. */
 #include "pwbuf.h"
 
 #include <stdarg.h>
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAP 256
+#define FIRST_CAP 256 /* bytes of a buffer's first allocation */
 
 void *pw_alloc(size_t n) {
   void *p = calloc(1, n ? n : 1);
--- a/packages/core/pwclock.c
+++ b/packages/core/pwclock.c
@@ -3,7 +3,7 @@
 
 #include <time.h>
 
-#define HLC_BITS 16
+#define HLC_BITS 16 /* bits of the counter in a stamp */
 
 static int64_t read_ns(clockid_t id) {
   struct timespec ts;
--- a/packages/core/pwcode.h
+++ b/packages/core/pwcode.h
@@ -1,9 +1,9 @@
-/* pwcode.h: numbered result codes, the one way errors are named. */
+/* pwcode.h: numbered result codes, which name every error in answers and logs. */
 #ifndef PWCODE_H
 #define PWCODE_H
 
-/* X(identifier, number, HTTP status, name, what it means). docs/CODES.md
-** repeats this table; tests/test_core.c compares the two. */
+/* X(identifier, number, HTTP status, name, meaning). docs/CODES.md repeats this table;
+** tests/test_core.c compares the two. */
 #define PW_CODES(X)                                                            \
   X(PW_OK, 0, 200, "ok", "success")                                            \
   X(PW_E_BODY, 1001, 400, "bad-body", "the body is not the JSON expected")     \
@@ -93,7 +93,7 @@
 /* HTTP status that goes with a code; 500 for no such code. */
 int pwcode_http(pw_code code);
 
-/* Fills *code, *name of row i (0-based); returns 0 past the last row. */
+/* Sets *code and *name from row i (0-based); returns 0 past the last row. */
 int pwcode_row(int i, pw_code *code, const char **name);
 
 #endif
--- a/packages/core/pwcount.c
+++ b/packages/core/pwcount.c
@@ -1,4 +1,4 @@
-/* pwcount.c: counters striped by processor and summed on reading. */
+/* pwcount.c: counters striped by CPU and summed when read. */
 #define _GNU_SOURCE
 #include "pwcount.h"
 
@@ -8,6 +8,7 @@
 #include <stdatomic.h>
 #include <stdlib.h>
 
+/* Copies of each counter, so that threads on different CPUs do not contend for a cache line. */
 #define STRIPES 16
 
 typedef struct stripe {
--- a/packages/core/pwcount.h
+++ b/packages/core/pwcount.h
@@ -6,7 +6,7 @@
 
 #include <stdint.h>
 
-/* X(identifier, exported name, type, help). Units stand in the names. */
+/* X(identifier, exported name, type, help). Exported names include the unit. */
 #define PW_COUNTERS(X)                                                         \
   X(PWC_REQUESTS, "requests_total", "counter", "requests taken from callers")  \
   X(PWC_DONE, "answers_done_total", "counter", "whole answers given")          \
@@ -165,13 +165,13 @@
 /* Sets a gauge. */
 void pwcount_set(pw_counters *c, pw_counter id, int64_t v);
 
-/* Sum over all threads. */
+/* Value summed over all stripes. */
 int64_t pwcount_get(const pw_counters *c, pw_counter id);
 
 /* Records one observation in microseconds. */
 void pwcount_observe(pw_counters *c, pw_histogram id, int64_t us);
 
-/* Appends all of it as Prometheus text. */
+/* Appends all counters and histograms as Prometheus text. */
 void pwcount_render(const pw_counters *c, pw_buf *out);
 
 #endif
--- a/packages/core/pwduration.c
+++ b/packages/core/pwduration.c
@@ -1,4 +1,4 @@
-/* pwduration.c: times as others write them. */
+/* pwduration.c: parses durations in headers of other systems. */
 #include "pwduration.h"
 
 #include <math.h>
@@ -6,7 +6,8 @@
 #include <string.h>
 
 #define MS_PER_S 1000.0
-#define TEXT_MAX 24
+#define TEXT_MAX                                                               \
+  24 /* bytes of a number with its zero; longer text is no duration */
 #define DIGITS "0123456789."
 
 int64_t pwduration_read(const char *text, size_t n) {
--- a/packages/core/pwevent.c
+++ b/packages/core/pwevent.c
@@ -1,4 +1,4 @@
-/* pwevent.c: the bounded ring of typed events. */
+/* pwevent.c: ring buffer of typed events. */
 #include "pwevent.h"
 
 #include "pwbuf.h"
@@ -12,7 +12,7 @@
   pw_hlc *hlc;
   pw_event *ring;
   int cap;
-  uint64_t count; /* events ever added */
+  uint64_t count; /* events added since the start */
 };
 
 static const char *const names[] = {
--- a/packages/core/pwevent.h
+++ b/packages/core/pwevent.h
@@ -1,4 +1,4 @@
-/* pwevent.h: the bounded ring of typed events behind the time line. */
+/* pwevent.h: ring buffer of typed events, which /v1/events serves. */
 #ifndef PWEVENT_H
 #define PWEVENT_H
 
@@ -49,11 +49,11 @@
 
 typedef struct pw_events pw_events;
 
-/* Ring of cap events of one process; hlc is shared with its messages. */
+/* A ring of `cap` events of one process; `hlc` is the clock that also stamps its messages. */
 pw_events *pwevent_new(pw_hlc *hlc, int cap);
 void pwevent_free(pw_events *r);
 
-/* Adds an event; NULL strings are left empty. Thread-safe. */
+/* Adds an event and overwrites the oldest when full; NULL strings become empty. Thread-safe. */
 void pwevent_add(pw_events *r, pw_event_kind kind, int code,
                  const char *request, const char *chat, const char *target,
                  const char *fmt, ...) __attribute__((format(printf, 7, 8)));
--- a/packages/core/pwhist.c
+++ b/packages/core/pwhist.c
@@ -1,9 +1,9 @@
-/* pwhist.c: buckets of latencies. */
+/* pwhist.c: latency histograms as Prometheus text. */
 #include "pwhist.h"
 
 #define US_PER_S 1e6
 
-/* Upper bounds of all buckets but the last, microseconds. */
+/* Upper bounds of all buckets but the last, in microseconds. */
 static const int64_t bounds[PWHIST_BUCKETS - 1] = {
     500,    1000,   2500,   5000,   10000,   25000,    50000,
     100000, 250000, 500000, 910000, 2500000, 10000000, 60000000};
--- a/packages/core/pwjson.c
+++ b/packages/core/pwjson.c
@@ -1,4 +1,4 @@
-/* pwjson.c: members of JSON objects with what stands for a missing one. */
+/* pwjson.c: members of JSON objects, with a default for a missing one. */
 #include "pwjson.h"
 
 const char *pwjson_text(const json_t *o, const char *key) {
--- a/packages/core/pwjson.h
+++ b/packages/core/pwjson.h
@@ -1,10 +1,10 @@
-/* pwjson.h: members of JSON objects with what stands for a missing one. */
+/* pwjson.h: members of JSON objects, with a default for a missing one. */
 #ifndef PWJSON_H
 #define PWJSON_H
 
 #include <jansson.h>
 
-/* The string under a key; "" when there is none. Borrowed. */
+/* The string under a key; "" when there is none. It belongs to `o`. */
 const char *pwjson_text(const json_t *o, const char *key);
 
 /* The number under a key; fallback when there is none. */
--- a/packages/core/pwjsonwalk.c
+++ b/packages/core/pwjsonwalk.c
@@ -1,4 +1,4 @@
-/* pwjsonwalk.c: the items of a JSON object or array one after another. */
+/* pwjsonwalk.c: iterates over the items of a JSON object or array. */
 #include "pwjsonwalk.h"
 
 #include <string.h>
@@ -9,7 +9,7 @@
   return p;
 }
 
-/* Past a string's closing quote, or NULL. */
+/* The position after a string's closing quote, or NULL. */
 static const char *skip_string(const char *p, const char *end) {
   for (p++; p < end; p++) {
     if (*p == '\\')
@@ -20,7 +20,7 @@
   return NULL;
 }
 
-/* Past the bracket that closes the one at p, or NULL. */
+/* The position after the bracket that closes the one at p, or NULL. */
 static const char *skip_brackets(const char *p, const char *end) {
   int depth = 0;
   while (p && p < end) {
@@ -65,11 +65,11 @@
 static int take_key(pw_jsonwalk *w, pw_span *key) {
   if (w->p == w->end || *w->p != '"')
     return -1;
-  const char *past = skip_string(w->p, w->end);
-  if (!past)
+  const char *after = skip_string(w->p, w->end);
+  if (!after)
     return -1;
-  *key = (pw_span){w->p, (size_t)(past - w->p)};
-  w->p = skip_blanks(past, w->end);
+  *key = (pw_span){w->p, (size_t)(after - w->p)};
+  w->p = skip_blanks(after, w->end);
   if (w->p == w->end || *w->p != ':')
     return -1;
   w->p = skip_blanks(w->p + 1, w->end);
@@ -93,11 +93,11 @@
   }
   if (w->close == '}' && take_key(w, key) != 0)
     return -1;
-  const char *past = skip_value(w->p, w->end);
-  if (!past)
+  const char *after = skip_value(w->p, w->end);
+  if (!after)
     return -1;
-  *value = (pw_span){w->p, (size_t)(past - w->p)};
-  w->p = past;
+  *value = (pw_span){w->p, (size_t)(after - w->p)};
+  w->p = after;
   return 1;
 }
 
--- a/packages/core/pwlag.c
+++ b/packages/core/pwlag.c
@@ -1,20 +1,21 @@
-/* pwlag.c: how long an event loop was held up. */
+/* pwlag.c: detects stalls of an event loop. */
 #include "pwlag.h"
 
-/* What came during a standstill has been read so long after it, by all threads of the process, ms. */
+/* Time after a stall in which all threads of the process have read the input that arrived during
+** it, ms. */
 #define CATCH_UP_MS 200
 
-/* A loop that is held up again and again gives peers up all the same: so long after it last began to
-** catch up it may begin anew, ms. */
+/* Shortest time between two starts of catching up, ms. Without it a loop that stalls again and
+** again would always be catching up and never give a peer up. */
 #define CATCH_UP_AGAIN_MS 1000
 
 int64_t pwlag_turn(pw_lag *l, int64_t now) {
-  int64_t took = l->turned_at ? now - l->turned_at : 0;
+  int64_t took = l->iteration_at ? now - l->iteration_at : 0;
   int64_t lost = took > l->turn_ms ? took - l->turn_ms : 0;
-  l->turned_at = now;
+  l->iteration_at = now;
   l->lost_ms += lost;
-  if (lost > 0 && (!l->back_at || now - l->back_at >= CATCH_UP_AGAIN_MS))
-    l->back_at = now;
+  if (lost > 0 && (!l->stall_end || now - l->stall_end >= CATCH_UP_AGAIN_MS))
+    l->stall_end = now;
   return lost;
 }
 
@@ -23,6 +24,6 @@
 }
 
 int64_t pwlag_catch_up(const pw_lag *l, int64_t now) {
-  int64_t left = l->back_at ? l->back_at + CATCH_UP_MS - now : 0;
+  int64_t left = l->stall_end ? l->stall_end + CATCH_UP_MS - now : 0;
   return left > 0 ? left : 0;
 }
--- a/packages/core/pwlimits.h
+++ b/packages/core/pwlimits.h
@@ -2,136 +2,140 @@
 #ifndef PWLIMITS_H
 #define PWLIMITS_H
 
-/* Longest name of an instance, target, workspace, model or service. */
+/* Bytes of the longest name of an instance, target, workspace, model or service, with its zero. */
 #define PW_NAME_MAX 64
 
-/* Longest caller-given chat id or Idempotency-Key, in bytes. */
+/* Longest chat id or Idempotency-Key of a caller, in bytes. */
 #define PW_KEY_MAX 128
 
-/* Bytes of a request body an entry takes (setting entry.max_body). */
+/* Longest request body that an entry accepts, in bytes (default of entry.max_body_bytes). */
 #define PW_BODY_MAX (1024 * 1024)
 
-/* Deepest nesting of JSON taken from outside. */
+/* Deepest nesting of JSON accepted from callers. */
 #define PW_JSON_DEPTH 64
 
-/* Bytes of an answer under way between an agent and its caller that the
-** caller has not taken yet; past that the agent stops reading the engine. */
+/* Flow control between an agent and an entry: bytes of an answer that may be sent before the caller
+** has read them. Above that the agent stops reading from the engine. */
 #define PW_WINDOW (64 * 1024)
 
-/* Largest answer kept in the once-ledger to be given again, in bytes. */
+/* Longest answer recorded in the once-ledger for replay, in bytes. */
 #define PW_RECORD_MAX 4096
 
-/* How long a key may not be claimed again, in milliseconds: the default of
-** policy's once_keep_s. */
+/* How long the once-ledger remembers a key, in ms: the default of the policy's once_keep_s. */
 #define PW_ONCE_KEEP_MS (24ULL * 3600 * 1000)
 
-/* The once-ledger: claims at most, past that new ones are refused; open ones of
-** them; answers kept to be given again, and their bytes. A claim takes 24 bytes
-** and 8 of index once its answer went, about 500 and the answer before. */
+/* Memory limits of the once-ledger. PW_ONCE_MAX: claims; at that number new ones are refused.
+** PW_ONCE_OPEN_MAX: claims without an answer. PW_ONCE_ANSWERS: answers kept for replay. A claim
+** takes about 500 bytes and its answer; once the answer is dropped, 24 bytes and 8 of index. */
 #define PW_ONCE_MAX 1000000
 #define PW_ONCE_OPEN_MAX 32768
 #define PW_ONCE_ANSWERS 32768
 
-/* Claims that were given back, of which late copies are told apart. */
+/* Released claims that the once-ledger remembers, so that late copies of them are recognised. */
 #define PW_ONCE_GIVEN_BACK 8192
+
+/* Total bytes of the answers that the once-ledger keeps for replay. */
 #define PW_ONCE_ANSWER_BYTES (8UL * 1024 * 1024)
 
-/* An open claim's answer cannot be recorded any more after this (ms): the
-** longest deadline, and as long again for a record that is sent late. */
+/* How long an open claim accepts its answer, in ms: the longest deadline, and as long again for a
+** record that arrives late. */
 #define PW_ONCE_OPEN_MS (2ULL * PW_DEADLINE_MAX)
 
-/* Results kept for resends of resource changes. */
+/* Results of resource changes that are kept, so that a resent change gets the same result. */
 #define PW_RESEND_MAX 8192
 
-/* Tombstones kept so that deltas can name deletions. */
+/* Tombstones of deleted resources that are kept, so that a delta can include deletions. */
 #define PW_TOMBSTONE_MAX 8192
 
-/* Default and longest deadline of a request, in milliseconds. */
+/* Default and longest deadline of a request, in ms. */
 #define PW_DEADLINE_DEFAULT 120000
 #define PW_DEADLINE_MAX 3600000
 
-/* A target's slots of the placement table a pool keeps (power of two), and
-** how many candidates each slot ranks. See docs/design/placement.md. */
+/* Hash slots of a pool's placement table (a power of two), and how many candidate targets each slot
+** ranks. See docs/design/placement.md. */
 #define PW_SLOTS 131072
 #define PW_RANKS 4
 
-/* Attempts of one request, first included, and hops between targets that
-** are refusals with proof. */
+/* Limits per request that bound the load of retries: attempts, the first one included, and hops,
+** which follow a refusal with proof that the request was not run. */
 #define PW_ATTEMPTS_MAX 3
 #define PW_HOPS_MAX 12
 
-/* Control instances that one knows besides itself, those outside of the group included. */
+/* Other control instances that one instance keeps track of, those outside of the group included. */
 #define PW_CONTROL_MAX 64
 
-/* Services whose roll-outs are kept; an order for one more is refused. */
+/* Services whose rollout is kept; an order for one more service is refused. */
 #define PW_ROLLOUTS_MAX 64
 
-/* A request under which so many targets ended goes to none any more, for so long (ms). One or two
-** ends happen to requests that are well (a target in 15 ends at once on a bad day); the third is the
-** last that users of a fleet accept. Ten minutes outlast the callers who come again. */
+/* Quarantine: a request during which so many targets crashed is not sent to any target for so long
+** (ms). One or two crashes also happen during harmless requests (on a bad day one target in 15
+** crashes at once); a third is the most that users of a fleet accept. Ten minutes outlast callers
+** that retry. */
 #define PW_QUARANTINE_ENDS 3
 #define PW_QUARANTINE_MS (600LL * 1000)
 
-/* A target that asks to be left alone is, for so long at most (ms): past a day it is more likely to be
-** another start, or what it said no time at all. */
+/* Longest hold-off that a target can ask for, in ms. A longer one is cut to a day: after that the
+** target is probably another incarnation, or the value was never a duration. */
 #define PW_HOLD_OFF_MAX_MS (24LL * 3600 * 1000)
 
-/* Share of the successes that may be spent on retries, and the reserve. */
+/* Retry budget of an entry: retries that each success earns, and the most that can be saved up,
+** which is also what a process starts with. */
 #define PW_RETRY_SHARE 0.05
 #define PW_RETRY_RESERVE 10.0
 
-/* Attempt ids an agent remembers so as to refuse a second arrival. */
+/* Attempt ids that an agent remembers, so that it refuses a second arrival of one. */
 #define PW_SEEN_MAX 65536
 
-/* ZeroMQ: messages queued per peer, and idle seconds before TCP's keepalive.
-** ZeroMQ's own heartbeats stay off: on thousands of idle links they would cost
-** more than the control budget. Hello and Ping do their work. */
+/* ZeroMQ: messages queued per peer, and the idle time before TCP keepalive, in s. ZeroMQ's own
+** heartbeats are off: on thousands of idle links they would exceed the budget of control bytes.
+** Hello and Ping messages detect lost peers instead. */
 #define PW_WIRE_HWM 20000
 #define PW_WIRE_KEEPALIVE_S 30
 
-/* A link whose other side acknowledges nothing for so long is given up, and a
-** connection that does not come up is tried again after so long, ms. A link that
-** was cut for longer is then new, and needs not wait for TCP, which tries again
-** after 6 or 12 s. */
+/* A link whose peer acknowledges nothing for PW_WIRE_LOST_MS is closed, and a connection that is
+** not established after PW_WIRE_CONNECT_MS is tried again. After a longer network cut the link is
+** then a new one and does not wait for TCP, which retransmits only after 6 or 12 s. */
 #define PW_WIRE_LOST_MS 1500
 #define PW_WIRE_CONNECT_MS 600
 
-/* Links between entry and agent (ms): a Run goes out only on a link heard
-** within LINK_FRESH, a silent link with work on it is asked after LINK_ASK and
-** given up after LINK_LOST; a cold link has LINK_OPEN to answer. */
+/* Links between entry and agent (ms). A Run is sent only on a link with a message received within
+** LINK_FRESH. A silent link with requests on it is pinged after LINK_ASK and given up after
+** LINK_LOST. A new link must answer within LINK_OPEN. */
 #define PW_LINK_FRESH 2000
 #define PW_LINK_ASK 500
 #define PW_LINK_LOST 3000
 #define PW_LINK_OPEN 600
 
-/* The distribution tree (ms): a child that said nothing for CHILD_KEEP has cut
-** itself off (its stale_ms is less) and no longer counts; a parent that says
-** nothing for PARENT_LOST is left for the next. */
+/* The distribution tree (ms). A child that sent nothing for CHILD_KEEP no longer counts: its
+** stale_ms is shorter, so it has cut itself off by then. A parent that sends nothing for
+** PARENT_LOST is replaced by the next one. */
 #define PW_CHILD_KEEP 15000
 #define PW_PARENT_LOST 1500
 
-/* Bytes a second a parent may spend on answering its children's Hellos. */
+/* Budget of a parent for answers to its children's Hellos, in bytes per second, and the shortest
+** and longest interval between Hellos of a child (ms), which follows from it. */
 #define PW_FEED_BYTES_PER_S 6000
 #define PW_HELLO_MS 250
 #define PW_HELLO_MAX_MS 2000
 
-/* Largest message between processes, in bytes. */
+/* Longest message between processes, in bytes. */
 #define PW_WIRE_MAX (64 * 1024 * 1024)
 
-/* Events a process keeps for the time line. */
+/* Events that a process keeps for /v1/events. */
 #define PW_EVENTS 4096
 
-/* Pointers to displaced chats that an agent keeps, and how long (ms). */
+/* Pointers that an agent keeps to chats which were served away from their home target, and for how
+** long (ms). */
 #define PW_POINTERS_MAX 4096
 #define PW_POINTER_KEEP_MS (2LL * 3600 * 1000)
 
-/* A gateway keeps a target's load to this share of what gateway.load_times
-** allows, and some requests more (pwpick_extra): each sees the others' requests
-** a little late. */
+/* A gateway keeps a target's load below this share of the bound that gateway.load_times sets, plus
+** a few requests (pwpick_extra). The margin is needed because each gateway learns of the requests
+** of others a little late. */
 #define PW_GW_BOUND_SHARE 0.8
 
-/* The same of the mean of all that are alive, those of evacuated availability zones too, which
-** have nothing to do. */
+/* The same bound against the mean load of all live targets, with those of evacuated availability
+** zones, which are idle: its share and its additional requests. */
 #define PW_GW_BOUND_ALL_SHARE 0.95
 #define PW_GW_BOUND_ALL_EXTRA 3.0
 
--- a/packages/core/pwlog.c
+++ b/packages/core/pwlog.c
@@ -1,4 +1,4 @@
-/* pwlog.c: log lines. Each is one write(2), so lines do not mix. */
+/* pwlog.c: structured log lines. Each is one write(2), so that lines of threads do not mix. */
 #include "pwlog.h"
 
 #include "pwclock.h"
@@ -11,15 +11,15 @@
 #define LINE_MAX_BYTES 1024
 #define MS_PER_S 1000
 
-/* Set once before threads start; read only afterwards. */
+/* Set once before threads start, only read after that. */
 static struct {
   const char *instance;
   const char *role;
-} who = {"-", "-"};
+} origin = {"-", "-"};
 
 void pwlog_init(const char *instance, const char *role) {
-  who.instance = instance;
-  who.role = role;
+  origin.instance = instance;
+  origin.role = role;
 }
 
 size_t pwlog_head(char *line, size_t cap, const char *instance,
@@ -34,9 +34,9 @@
 static size_t head(char *line, int prio, const char *event) {
   static const char *const levels[] = {"emerg",   "alert",  "crit", "err",
                                        "warning", "notice", "info", "debug"};
-  size_t n = pwlog_head(line, LINE_MAX_BYTES, who.instance, event);
+  size_t n = pwlog_head(line, LINE_MAX_BYTES, origin.instance, event);
   int m = snprintf(line + n, LINE_MAX_BYTES - n, "level=%s role=%s",
-                   levels[LOG_PRI(prio)], who.role);
+                   levels[LOG_PRI(prio)], origin.role);
   return n + (m > 0 ? (size_t)m : 0);
 }
 
--- a/packages/core/pwmail.c
+++ b/packages/core/pwmail.c
@@ -1,4 +1,4 @@
-/* pwmail.c: a mailbox on liburcu's wait-free queue and an eventfd. */
+/* pwmail.c: a mailbox: liburcu's wait-free queue, with an eventfd to wake the owner. */
 #include "pwmail.h"
 
 #include "pwbuf.h"
--- a/packages/core/pwmail.h
+++ b/packages/core/pwmail.h
@@ -1,10 +1,10 @@
-/* pwmail.h: a mailbox: many threads post, one thread takes. */
+/* pwmail.h: a mailbox: a queue to which many threads post and from which one thread takes. */
 #ifndef PWMAIL_H
 #define PWMAIL_H
 
-/* An item begins with this. */
+/* First member of every item. */
 typedef struct pw_mail_item {
-  void *next[2]; /* room for the queue's link */
+  void *next[2]; /* space for the queue's link */
 } pw_mail_item;
 
 typedef struct pw_mail pw_mail;
@@ -15,17 +15,18 @@
 /* Posts an item; never blocks. */
 void pwmail_post(pw_mail *m, pw_mail_item *item);
 
-/* The same for what is in no hurry: the owner is not woken, and finds it when it next
-** looks. */
+/* Posts an item without waking the owner, which finds it when it next takes items; for work that is
+** not urgent. */
 void pwmail_leave(pw_mail *m, pw_mail_item *item);
 
-/* Takes the oldest item, or NULL. Only one thread may take. */
+/* Takes the oldest item; NULL: empty. Only one thread may take items. */
 pw_mail_item *pwmail_take(pw_mail *m);
 
-/* Descriptor that polls readable while items may wait. */
+/* Descriptor that is readable when items may wait. */
 int pwmail_fd(const pw_mail *m);
 
-/* Clears the readiness of the descriptor; call it before taking. */
+/* Makes the descriptor unreadable again; to be called before taking items, so that none is
+** missed. */
 void pwmail_clear(pw_mail *m);
 
 #endif
--- a/packages/core/pwset.c
+++ b/packages/core/pwset.c
@@ -1,4 +1,4 @@
-/* pwset.c: the table of settings, and the checks made from it. */
+/* pwset.c: the table of settings; reads, checks and documents them by it. */
 #include "pwset.h"
 
 #include "pwtoml.h"
@@ -22,10 +22,10 @@
   const char *key;
   set_type type;
   size_t offset;
-  int64_t min, max, fallback; /* T_INT, T_REAL, T_BOOL */
+  int64_t min, max, fallback; /* T_INT, T_REAL, T_BOOL; fallback: the default */
   const char *text;           /* default of a string, or NULL: none */
   const char *choices;        /* "a|b", or NULL: any string */
-  const char *need;           /* role that cannot do without it, or NULL */
+  const char *need;           /* role that requires it, "any", or NULL */
   const char *unit;
   const char *help;
 } set_row;
@@ -219,8 +219,8 @@
   return (char *)s + r->offset;
 }
 
-static void complain(reading *rd, const pw_toml_value *v, const char *what,
-                     const char *allowed) {
+static void report_mistake(reading *rd, const pw_toml_value *v,
+                           const char *what, const char *allowed) {
   rd->mistakes++;
   pwbuf_fmt(rd->err, "%s:%d:%d: %s%s%s: %s; %s\n", rd->path, v->line, v->column,
             v->section, v->section[0] ? "." : "", v->key, what, allowed);
@@ -246,17 +246,17 @@
   return stat(path, &st) == 0 && (st.st_mode & 077) != 0;
 }
 
-static void take_string(reading *rd, const set_row *r, const pw_toml_value *v) {
+static void set_string(reading *rd, const set_row *r, const pw_toml_value *v) {
   if (v->type != PWTOML_STRING) {
-    complain(rd, v, "wrong type", "a string is allowed");
+    report_mistake(rd, v, "wrong type", "a string is allowed");
     return;
   }
   if (r->choices && !is_choice(r->choices, v->string)) {
-    complain(rd, v, "unknown choice", r->choices);
+    report_mistake(rd, v, "unknown choice", r->choices);
     return;
   }
   if (r->type == T_SECRET_FILE && readable_by_others(v->string)) {
-    complain(rd, v, "others can read this file", "mode 0600 is allowed");
+    report_mistake(rd, v, "others can read this file", "mode 0600 is allowed");
     return;
   }
   char **at = field(rd->s, r);
@@ -264,7 +264,7 @@
   *at = pw_dup(v->string);
 }
 
-static void take_int(reading *rd, const set_row *r, const pw_toml_value *v) {
+static void set_int(reading *rd, const set_row *r, const pw_toml_value *v) {
   char allowed[96];
   pw_buf b = {0};
   pwbuf_fmt(&b, "%lld to %lld %s is allowed", (long long)r->min,
@@ -272,15 +272,15 @@
   pw_copy(allowed, sizeof allowed, b.data);
   pwbuf_free(&b);
   if (v->type != PWTOML_INT) {
-    complain(rd, v, "wrong type", allowed);
+    report_mistake(rd, v, "wrong type", allowed);
   } else if (v->integer < r->min || v->integer > r->max) {
-    complain(rd, v, "out of range", allowed);
+    report_mistake(rd, v, "out of range", allowed);
   } else {
     *(int64_t *)field(rd->s, r) = v->integer;
   }
 }
 
-static void take_real(reading *rd, const set_row *r, const pw_toml_value *v) {
+static void set_real(reading *rd, const set_row *r, const pw_toml_value *v) {
   char allowed[96];
   pw_buf b = {0};
   pwbuf_fmt(&b, "%lld to %lld %s is allowed", (long long)r->min,
@@ -288,23 +288,24 @@
   pw_copy(allowed, sizeof allowed, b.data);
   pwbuf_free(&b);
   if (v->type != PWTOML_INT && v->type != PWTOML_FLOAT)
-    complain(rd, v, "wrong type", allowed);
+    report_mistake(rd, v, "wrong type", allowed);
   else if (!(v->real >= (double)r->min && v->real <= (double)r->max))
-    complain(rd, v, "out of range", allowed);
+    report_mistake(rd, v, "out of range", allowed);
   else
     *(double *)field(rd->s, r) = v->real;
 }
 
-static void take_bool(reading *rd, const set_row *r, const pw_toml_value *v) {
+static void set_bool(reading *rd, const set_row *r, const pw_toml_value *v) {
   if (v->type == PWTOML_BOOL)
     *(int64_t *)field(rd->s, r) = v->integer;
   else
-    complain(rd, v, "wrong type", "true or false is allowed");
+    report_mistake(rd, v, "wrong type", "true or false is allowed");
 }
 
-static void take_list(reading *rd, const set_row *r, const pw_toml_value *v) {
+static void set_list(reading *rd, const set_row *r, const pw_toml_value *v) {
   if (v->type != PWTOML_LIST || v->nlist > PW_LIST_MAX) {
-    complain(rd, v, "wrong type", "a list of up to 64 strings is allowed");
+    report_mistake(rd, v, "wrong type",
+                   "a list of up to 64 strings is allowed");
     return;
   }
   pw_list *l = field(rd->s, r);
@@ -312,24 +313,24 @@
     l->item[l->n++] = pw_dup(v->list[i]);
 }
 
-static void take(void *arg, const pw_toml_value *v) {
+static void set_value(void *arg, const pw_toml_value *v) {
   reading *rd = arg;
   const set_row *r = find(v->section, v->key);
   if (!r) {
-    complain(rd, v, "unknown key", "see docs/SETTINGS.md");
+    report_mistake(rd, v, "unknown key", "see docs/SETTINGS.md");
     return;
   }
   rd->seen[r - rows] = 1;
   if (r->type == T_INT)
-    take_int(rd, r, v);
+    set_int(rd, r, v);
   else if (r->type == T_REAL)
-    take_real(rd, r, v);
+    set_real(rd, r, v);
   else if (r->type == T_BOOL)
-    take_bool(rd, r, v);
+    set_bool(rd, r, v);
   else if (r->type == T_LIST)
-    take_list(rd, r, v);
+    set_list(rd, r, v);
   else
-    take_string(rd, r, v);
+    set_string(rd, r, v);
 }
 
 static void set_defaults(pw_settings *s) {
@@ -344,7 +345,7 @@
   }
 }
 
-static void check_needs(reading *rd) {
+static void check_required(reading *rd) {
   for (int i = 0; i < NROWS; i++) {
     const set_row *r = &rows[i];
     if (!r->need || rd->seen[i])
@@ -353,7 +354,7 @@
       continue;
     pw_toml_value v = {
         .section = r->section, .key = r->key, .line = 1, .column = 1};
-    complain(rd, &v, "missing", r->help);
+    report_mistake(rd, &v, "missing", r->help);
   }
 }
 
@@ -362,20 +363,20 @@
       .section = "instance", .key = "roles", .line = 1, .column = 1};
   for (int i = 0; i < rd->s->roles.n; i++)
     if (!is_choice("entry|agent|gateway|control", rd->s->roles.item[i]))
-      complain(rd, &v, "unknown role",
-               "entry, agent, gateway and control are allowed");
+      report_mistake(rd, &v, "unknown role",
+                     "entry, agent, gateway and control are allowed");
 }
 
-/* The timing rule: a leader has a heartbeat and two whole retries to renew
-** its lease before a follower may take over. */
+/* A leader must have time for a heartbeat and two complete retries to renew its lease before a
+** follower may start an election. */
 static void check_lease(reading *rd) {
   const pw_settings *s = rd->s;
   if (s->control_heartbeat + 2 * s->control_retry <= s->control_lease)
     return;
   pw_toml_value v = {
       .section = "control", .key = "lease_ms", .line = 1, .column = 1};
-  complain(rd, &v, "contradicts heartbeat_ms and retry_ms",
-           "heartbeat_ms + 2 * retry_ms <= lease_ms is allowed");
+  report_mistake(rd, &v, "contradicts heartbeat_ms and retry_ms",
+                 "heartbeat_ms + 2 * retry_ms <= lease_ms is allowed");
 }
 
 static void check_tls(reading *rd) {
@@ -384,15 +385,15 @@
     return;
   pw_toml_value v = {
       .section = "entry", .key = "tls_cert", .line = 1, .column = 1};
-  complain(rd, &v, "contradicts tls_key", "both or neither are allowed");
+  report_mistake(rd, &v, "contradicts tls_key", "both or neither are allowed");
 }
 
 pw_code pwset_read(pw_settings *s, const char *path, pw_buf *err) {
   set_defaults(s);
   reading rd = {.s = s, .path = path, .err = err};
-  if (pwtoml_visit(path, take, &rd, err) != 0)
+  if (pwtoml_visit(path, set_value, &rd, err) != 0)
     return PW_E_SETTINGS;
-  check_needs(&rd);
+  check_required(&rd);
   check_roles(&rd);
   check_lease(&rd);
   check_tls(&rd);
@@ -406,7 +407,7 @@
   return 0;
 }
 
-/* "`a`, `b`" of "a|b". */
+/* Formats choices "a|b" as "`a`, `b`". */
 static const char *choices_of(const set_row *r) {
   static const char *const known[][2] = {
       {"refuse|serve", "`refuse`, `serve`"},
--- a/packages/core/pwset.h
+++ b/packages/core/pwset.h
@@ -1,4 +1,4 @@
-/* pwset.h: the settings of peatwelld, from one table of keys. */
+/* pwset.h: settings of peatwelld, read from a TOML file and checked against a table of keys. */
 #ifndef PWSET_H
 #define PWSET_H
 
@@ -8,15 +8,14 @@
 
 #include <stdint.h>
 
-#define PW_LIST_MAX 64
+#define PW_LIST_MAX 64 /* strings in one list */
 
 typedef struct pw_list {
   char *item[PW_LIST_MAX];
   int n;
 } pw_list;
 
-/* Settings of one process. Times are milliseconds unless named otherwise;
-** strings that were not set are "". */
+/* Settings of one process, in the units of their keys. Strings without a value are "". */
 typedef struct pw_settings {
   char *name;
   pw_list roles;
@@ -96,15 +95,15 @@
   int64_t control_beat;
 } pw_settings;
 
-/* Reads and checks a file. Every mistake adds one line
-** "FILE:LINE:COLUMN: key: what was wrong; what is allowed" to err.
-** Returns PW_OK or PW_E_SETTINGS. */
+/* Reads and checks a file. Each mistake appends a line
+** "FILE:LINE:COLUMN: key: what was wrong; what is allowed" to `err`. Returns PW_OK or
+** PW_E_SETTINGS. */
 pw_code pwset_read(pw_settings *s, const char *path, pw_buf *err);
 
-/* Non-zero when the role is among instance.roles. */
+/* Whether instance.roles contains the role. */
 int pwset_has_role(const pw_settings *s, const char *role);
 
-/* Appends docs/SETTINGS.md, made from the same table. */
+/* Appends the text of docs/SETTINGS.md, generated from the table. */
 void pwset_document(pw_buf *out);
 
 void pwset_free(pw_settings *s);
--- a/packages/core/pwthread.c
+++ b/packages/core/pwthread.c
@@ -1,4 +1,4 @@
-/* pwthread.c: a thread that works in rounds. */
+/* pwthread.c: a thread that calls a function periodically. */
 #include "pwthread.h"
 
 #include "pwclock.h"
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <time.h>
 
-#define STACK_BYTES (256 * 1024)
+#define STACK_BYTES (256 * 1024) /* stack size of such a thread */
 #define NS_PER_MS 1000000LL
 #define NS_PER_S 1000000000LL
 
@@ -19,8 +19,8 @@
   return ts;
 }
 
-/* Until the time is over, or it is woken or ended; 0: ended. */
-static int rest(pw_thread *t, int64_t ms) {
+/* Sleeps until the time is over or the thread is woken; returns 0 when it is to stop. */
+static int sleep_ms(pw_thread *t, int64_t ms) {
   struct timespec until = in_ms(ms);
   pthread_mutex_lock(&t->lock);
   if (!t->ending)
@@ -30,10 +30,10 @@
   return !ending;
 }
 
-static void *work(void *arg) {
+static void *run(void *arg) {
   pw_thread *t = arg;
   int64_t ms = t->first;
-  while (rest(t, ms))
+  while (sleep_ms(t, ms))
     ms = t->round(t->arg);
   pthread_mutex_lock(&t->lock);
   t->ended = 1;
@@ -53,7 +53,7 @@
   pthread_condattr_destroy(&clock);
   pthread_attr_init(&attr);
   pthread_attr_setstacksize(&attr, STACK_BYTES);
-  if (pthread_create(&t->id, &attr, work, t) != 0)
+  if (pthread_create(&t->id, &attr, run, t) != 0)
     abort();
   pthread_attr_destroy(&attr);
 }
--- a/packages/core/pwthread.h
+++ b/packages/core/pwthread.h
@@ -1,5 +1,5 @@
-/* pwthread.h: a thread that works in rounds, rests between them, and is ended
-** from outside even when it hangs in a call. */
+/* pwthread.h: a thread that calls a function periodically. Stopping it takes a bounded time even
+** when the function hangs. */
 #ifndef PWTHREAD_H
 #define PWTHREAD_H
 
@@ -8,25 +8,24 @@
 
 typedef struct pw_thread {
   pthread_t id;
-  pthread_mutex_t lock; /* the owner may keep what both sides use under it */
-  pthread_cond_t more;
-  int64_t (*round)(void *arg); /* gives how long to rest, ms */
+  pthread_mutex_t lock;        /* may also guard data shared with the owner */
+  pthread_cond_t more;         /* wakes the thread */
+  int64_t (*round)(void *arg); /* returns the ms to sleep until the next call */
   void *arg;
-  int64_t first; /* ms before the first round */
+  int64_t first; /* delay of the first call, ms */
   int ending, ended;
 } pw_thread;
 
-/* Starts it: round(arg) again and again, `first` ms from now for the first
- * time.
- */
+/* Starts the thread: calls round(arg) `first` ms from now, then again after the time that each call
+** returns. */
 void pwthread_start(pw_thread *t, int64_t (*round)(void *arg), void *arg,
                     int64_t first);
 
-/* Ends its rest; the lock is held. */
+/* Wakes the thread from its sleep. The caller holds the lock. */
 void pwthread_wake(pw_thread *t);
 
-/* Ends it. -1 when its round is not over after limit_ms: its memory must stay.
- */
+/* Stops the thread. Returns -1 when the current call has not returned within limit_ms: the thread
+** still runs then, and *t must stay valid. */
 int pwthread_stop(pw_thread *t, int64_t limit_ms);
 
 #endif
--- a/packages/core/pwtoml.cc
+++ b/packages/core/pwtoml.cc
@@ -1,4 +1,4 @@
-// pwtoml.cc: the one C++ file; toml++ behind a C header.
+// pwtoml.cc: reads TOML files: a C interface to toml++. The only C++ file of the project.
 #include "pwtoml.h"
 
 #include <sstream>
@@ -6,14 +6,14 @@
 #include <vector>
 
 namespace {
-struct unreadable {}; // text that toml++ stumbles over
+struct unreadable {}; // thrown for text on which an assertion of toml++ fails
 } // namespace
 
-// Found by fuzzing toml++ 3.3: it says "unreachable" of characters that do
-// reach it (U+00A0 to U+0499, a letter with an accent, say, where it looks for
-// white space), which is undefined behaviour: its tables are read with "no"
-// instead. And it asserts what bad text breaks ("[&" and more): thrown instead,
-// so that the file is refused.
+// Works around two faults of toml++ 3.3, found by fuzzing. Its character tables
+// mark as unreachable what some input does reach (U+00A0 to U+0499, such as an
+// accented letter where white space is expected), which is undefined behaviour;
+// the tables return false there instead. And malformed input such as "[&" fails
+// its assertions; they throw instead, so that the file is refused.
 // clang-format off: the order matters
 #pragma GCC diagnostic push
 #pragma GCC diagnostic ignored "-Wterminate"
@@ -40,7 +40,8 @@
               std::string(e.description()).c_str());
     return -1;
   } catch (const unreadable &) {
-    pwbuf_fmt(err, "%s:1:1: not TOML: a table's or a key's name is malformed\n",
+    pwbuf_fmt(err,
+              "%s:1:1: not TOML: the name of a table or key is malformed\n",
               path);
     return -1;
   }
--- a/packages/core/pwtoml.h
+++ b/packages/core/pwtoml.h
@@ -1,4 +1,4 @@
-/* pwtoml.h: TOML through toml++, for C callers. */
+/* pwtoml.h: reads TOML files: a C interface to toml++. */
 #ifndef PWTOML_H
 #define PWTOML_H
 
@@ -19,7 +19,7 @@
   PWTOML_OTHER
 } pw_toml_type;
 
-/* One value met in a file: [section] key = value. */
+/* One value of a file: [section] key = value. */
 typedef struct pw_toml_value {
   const char *section; /* "" at the top level */
   const char *key;
--- a/packages/core/pwtrace.c
+++ b/packages/core/pwtrace.c
@@ -1,4 +1,4 @@
-/* pwtrace.c: structured lines within a budget. */
+/* pwtrace.c: structured log lines within a budget of bytes per second. */
 #include "pwtrace.h"
 
 #include "pwbuf.h"
@@ -12,23 +12,23 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#define LINE_BYTES 512
-#define RING_BYTES (64 * 1024)  /* lines that wait to be written */
-#define FLUSH_BYTES (16 * 1024) /* written early when so many wait */
+#define LINE_BYTES 512            /* longest line; a longer one is cut */
+#define PENDING_BYTES (64 * 1024) /* most bytes that wait to be written */
+#define FLUSH_BYTES (16 * 1024)   /* waiting bytes that cause an early write */
 #define MS_PER_S 1000
 
-/* Lines of requests that go well may use this share of the budget. */
-#define WELL_SHARE 0.5
+/* Share of the budget that lines of successful requests may use; the rest is for failures. */
+#define ROUTINE_SHARE 0.5
 
 struct pw_trace {
   char *instance;
   int fd;
-  double rate; /* bytes a second */
-  double left;
-  int64_t at;
+  double rate; /* budget, bytes per second */
+  double left; /* bytes that may be written now */
+  int64_t at;  /* when `left` was last refilled */
   pw_buf out;
-  size_t out_at;
-  uint64_t dropped, told;
+  size_t out_at;              /* bytes of `out` already written */
+  uint64_t dropped, reported; /* lines dropped, and reported as dropped */
 };
 
 pw_trace *pwtrace_new(const char *instance, int fd, int64_t bytes_per_s) {
@@ -70,22 +70,22 @@
   return pwlog_head(line, LINE_BYTES, t->instance, event);
 }
 
-static void tell_dropped(pw_trace *t) {
+static void report_dropped(pw_trace *t) {
   char line[LINE_BYTES];
-  if (t->dropped == t->told)
+  if (t->dropped == t->reported)
     return;
   size_t n = head(t, line, "left-out");
   n += (size_t)snprintf(line + n, LINE_BYTES - n, "lines=%llu\n",
-                        (unsigned long long)(t->dropped - t->told));
-  t->told = t->dropped;
+                        (unsigned long long)(t->dropped - t->reported));
+  t->reported = t->dropped;
   append(t, line, n);
 }
 
-/* Whether a line of this kind still has room. */
+/* Whether the budget and the buffer have room for a line of this kind. */
 static int has_room(const pw_trace *t, pw_trace_kind kind) {
-  if (t->out.len - t->out_at + 2 * LINE_BYTES > RING_BYTES)
+  if (t->out.len - t->out_at + 2 * LINE_BYTES > PENDING_BYTES)
     return 0;
-  double keep = kind == PWTRACE_WELL ? t->rate * (1 - WELL_SHARE) : 0;
+  double keep = kind == PWTRACE_WELL ? t->rate * (1 - ROUTINE_SHARE) : 0;
   return t->left - LINE_BYTES > keep;
 }
 
@@ -99,7 +99,7 @@
     t->dropped++;
     return;
   }
-  tell_dropped(t);
+  report_dropped(t);
   size_t n = head(t, line, event);
   va_list ap;
   va_start(ap, fmt);
@@ -122,7 +122,7 @@
   if (n > 0)
     t->out_at += (size_t)n;
   else if (errno != EAGAIN && errno != EINTR)
-    t->out_at = t->out.len; /* nobody reads any more: these lines are lost */
+    t->out_at = t->out.len; /* the reader is gone: drop these lines */
   if (t->out_at == t->out.len)
     t->out.len = t->out_at = 0;
 }
--- a/packages/core/pwtrace.h
+++ b/packages/core/pwtrace.h
@@ -1,36 +1,36 @@
-/* pwtrace.h: structured lines (logfmt) on standard output, one for each
-** decision, within a budget of bytes a second and never waiting.
+/* pwtrace.h: structured log lines (logfmt) on standard output, one per decision on a request. They
+** stay within a budget of bytes per second, and writing never blocks.
 **
-** Lines of requests that went well go first when the budget is short; one line
-** says how many were left out. */
+** When the budget runs short, lines of successful requests are dropped first; one line then says
+** how many were dropped. */
 #ifndef PWTRACE_H
 #define PWTRACE_H
 
 #include <stdint.h>
 
 typedef enum pw_trace_kind {
-  PWTRACE_WELL, /* a step of a request that goes well */
-  PWTRACE_FAIL, /* a request was refused, retried or broken off */
-  PWTRACE_STATE /* what the process believes has changed */
+  PWTRACE_WELL, /* a step of a request without a failure */
+  PWTRACE_FAIL, /* a request was refused, retried or aborted */
+  PWTRACE_STATE /* a change in what the process knows, such as the health of a target */
 } pw_trace_kind;
 
 typedef struct pw_trace pw_trace;
 
-/* `bytes_per_s`: budget; 0 writes nothing. Writes to descriptor `fd`, which is
-** made non-blocking if it is a pipe or a socket. */
+/* Writes to descriptor `fd`, which becomes non-blocking if it is a pipe or a socket. `bytes_per_s`:
+** the budget; 0 writes nothing. */
 pw_trace *pwtrace_new(const char *instance, int fd, int64_t bytes_per_s);
 void pwtrace_free(pw_trace *t);
 
-/* Adds "ts=... inst=... ev=EVENT ..."; fmt gives the rest as key=value. `now`
-** is the monotonic time in ms. */
+/* Adds a line "ts=... inst=... ev=EVENT ..."; `fmt` gives the rest as key=value. `now` is the
+** monotonic time in ms. */
 void pwtrace_line(pw_trace *t, pw_trace_kind kind, int64_t now,
                   const char *event, const char *fmt, ...)
     __attribute__((format(printf, 5, 6)));
 
-/* Writes what has come together; as much as goes without waiting. */
+/* Writes buffered lines, as far as the descriptor accepts them without blocking. */
 void pwtrace_flush(pw_trace *t, int64_t now);
 
-/* Lines left out so far. */
+/* Lines dropped since the start. */
 uint64_t pwtrace_dropped(const pw_trace *t);
 
 #endif
--- a/tests/pwtest.h
+++ b/tests/pwtest.h
@@ -1,4 +1,4 @@
-/* pwtest.h: the little that CUnit tests share. */
+/* pwtest.h: macros and random numbers shared by the CUnit tests. */
 #ifndef PWTEST_H
 #define PWTEST_H
 
@@ -24,7 +24,7 @@
   CU_cleanup_registry();                                                       \
   return failures != 0
 
-/* A replayable sequence of random numbers. */
+/* A reproducible sequence of random numbers. */
 typedef struct pw_random {
   uint64_t seed, n;
 } pw_random;
@@ -44,7 +44,7 @@
   return (double)(pwrand(r) >> 11) / 9007199254740992.0;
 }
 
-/* The seed of PW_SEED, or a fixed one, printed either way. */
+/* The seed from PW_SEED, or else the fixed one; prints it. */
 static inline uint64_t test_seed(uint64_t fixed) {
   const char *s = getenv("PW_SEED");
   uint64_t seed = s ? strtoull(s, NULL, 10) : fixed;
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -25,7 +25,7 @@
   return pwbuf_take(&b);
 }
 
-/* docs/CODES.md has a row for every code, and no other. */
+/* docs/CODES.md has one row for each code, and no others. */
 static void test_codes_page(void) {
   char *page = read_text("docs/CODES.md");
   pw_code code;
@@ -66,8 +66,8 @@
   return rc;
 }
 
-/* Whether the messages hold a text. */
-static int says(const pw_buf *b, const char *text) {
+/* Whether the messages contain a text. */
+static int contains(const pw_buf *b, const char *text) {
   return b->data && strstr(b->data, text) != NULL;
 }
 
@@ -88,15 +88,15 @@
   CHECK(err.len == 0);
   CHECK(check_text(GOOD "colour = 3\nid = \"x\"\nheartbeat_ms = 5\n", &err) ==
         PW_E_SETTINGS);
-  CHECK(lines_in(&err) == 3); /* all mistakes in one run */
-  CHECK(says(&err, ":8:10: control.colour: unknown key"));
-  CHECK(says(&err, ":9:6: control.id: wrong type"));
-  CHECK(says(&err, ":10:16: control.heartbeat_ms: out of range; "
-                   "10 to 10000 ms is allowed"));
+  CHECK(lines_in(&err) == 3); /* all mistakes are reported at once */
+  CHECK(contains(&err, ":8:10: control.colour: unknown key"));
+  CHECK(contains(&err, ":9:6: control.id: wrong type"));
+  CHECK(contains(&err, ":10:16: control.heartbeat_ms: out of range; "
+                       "10 to 10000 ms is allowed"));
   pwbuf_free(&err);
   CHECK(check_text(GOOD "heartbeat_ms = 300\nretry_ms = 400\n", &err) ==
         PW_E_SETTINGS);
-  CHECK(says(&err, "heartbeat_ms + 2 * retry_ms <= lease_ms"));
+  CHECK(contains(&err, "heartbeat_ms + 2 * retry_ms <= lease_ms"));
   pwbuf_free(&err);
   CHECK(check_text("[instance]\nroles = [\"entry\"]\n", &err) == PW_E_SETTINGS);
   CHECK(lines_in(&err) == 4); /* name, entry.http, .wire, .control */
@@ -106,8 +106,8 @@
   pwbuf_free(&err);
 }
 
-/* Texts that the library stumbles over, found by fuzzing: refused in one line,
-** not the end of the process. */
+/* Inputs found by fuzzing on which toml++ fails an assertion: they are refused with one line and do
+** not abort the process. */
 static void test_bad_toml(void) {
   static const char *const bad[] = {"[&[0\t2", "[instance]\n\xcc\xae = 1\n",
                                     "[instance]\nname = \xc3\xa9\n",
@@ -129,7 +129,7 @@
   CHECK(check_text(text, &err) == PW_OK);
   chmod(path, 0644);
   CHECK(check_text(text, &err) == PW_E_SETTINGS);
-  CHECK(says(&err, "others can read"));
+  CHECK(contains(&err, "others can read"));
   pwbuf_free(&err);
   unlink(path);
 }
@@ -158,7 +158,8 @@
   for (int i = 0; i < 6; i++)
     pwevent_add(r, PWE_PLACED, 0, "r", NULL, "t", "n=%d", i);
   json_t *list = pwevent_json(r, 0, "me");
-  CHECK(json_array_size(list) == 4); /* bounded: the oldest two are gone */
+  CHECK(json_array_size(list) ==
+        4); /* the ring is full: the oldest two are overwritten */
   const json_t *first = json_array_get(list, 0);
   CHECK(!strcmp(json_string_value(json_object_get(first, "detail")), "n=2"));
   json_int_t third =
