--- a/packages/core/pwduration.c
+++ b/packages/core/pwduration.c
@@ -6,8 +6,8 @@
 #include <string.h>
 
 #define MS_PER_S 1000.0
-#define TEXT_MAX                                                               \
-  24 /* bytes of a number with its zero; longer text is no duration */
+/* Bytes of the longest number, with its zero; a longer text is no duration. */
+#define TEXT_MAX 24
 #define DIGITS "0123456789."
 
 int64_t pwduration_read(const char *text, size_t n) {
--- a/packages/core/pwthread.c
+++ b/packages/core/pwthread.c
@@ -23,11 +23,11 @@
 static int sleep_ms(pw_thread *t, int64_t ms) {
   struct timespec until = in_ms(ms);
   pthread_mutex_lock(&t->lock);
-  if (!t->ending)
-    pthread_cond_timedwait(&t->more, &t->lock, &until);
-  int ending = t->ending;
+  if (!t->is_stopping)
+    pthread_cond_timedwait(&t->wake, &t->lock, &until);
+  int is_stopping = t->is_stopping;
   pthread_mutex_unlock(&t->lock);
-  return !ending;
+  return !is_stopping;
 }
 
 static void *run(void *arg) {
@@ -36,7 +36,7 @@
   while (sleep_ms(t, ms))
     ms = t->round(t->arg);
   pthread_mutex_lock(&t->lock);
-  t->ended = 1;
+  t->has_stopped = 1;
   pthread_mutex_unlock(&t->lock);
   return NULL;
 }
@@ -49,7 +49,7 @@
   pthread_mutex_init(&t->lock, NULL);
   pthread_condattr_init(&clock);
   pthread_condattr_setclock(&clock, CLOCK_MONOTONIC);
-  pthread_cond_init(&t->more, &clock);
+  pthread_cond_init(&t->wake, &clock);
   pthread_condattr_destroy(&clock);
   pthread_attr_init(&attr);
   pthread_attr_setstacksize(&attr, STACK_BYTES);
@@ -59,23 +59,23 @@
 }
 
 void pwthread_wake(pw_thread *t) {
-  pthread_cond_signal(&t->more);
+  pthread_cond_signal(&t->wake);
 }
 
-static int has_ended(pw_thread *t) {
+static int has_stopped_yet(pw_thread *t) {
   pthread_mutex_lock(&t->lock);
-  int ended = t->ended;
+  int has_stopped = t->has_stopped;
   pthread_mutex_unlock(&t->lock);
-  return ended;
+  return has_stopped;
 }
 
 int pwthread_stop(pw_thread *t, int64_t limit_ms) {
   int64_t until = pwclock_ms() + limit_ms;
   pthread_mutex_lock(&t->lock);
-  t->ending = 1;
-  pthread_cond_signal(&t->more);
+  t->is_stopping = 1;
+  pthread_cond_signal(&t->wake);
   pthread_mutex_unlock(&t->lock);
-  while (!has_ended(t)) {
+  while (!has_stopped_yet(t)) {
     if (pwclock_ms() >= until)
       return -1;
     struct timespec ts = {0, NS_PER_MS};
@@ -83,6 +83,6 @@
   }
   pthread_join(t->id, NULL);
   pthread_mutex_destroy(&t->lock);
-  pthread_cond_destroy(&t->more);
+  pthread_cond_destroy(&t->wake);
   return 0;
 }
--- a/packages/core/pwthread.h
+++ b/packages/core/pwthread.h
@@ -9,11 +9,11 @@
 typedef struct pw_thread {
   pthread_t id;
   pthread_mutex_t lock;        /* may also guard data shared with the owner */
-  pthread_cond_t more;         /* wakes the thread */
+  pthread_cond_t wake;         /* wakes the thread */
   int64_t (*round)(void *arg); /* returns the ms to sleep until the next call */
   void *arg;
   int64_t first; /* delay of the first call, ms */
-  int ending, ended;
+  int is_stopping, has_stopped;
 } pw_thread;
 
 /* Starts the thread: calls round(arg) `first` ms from now, then again after the time that each call
--- a/packages/http/pwserve.c
+++ b/packages/http/pwserve.c
@@ -23,8 +23,8 @@
 /* Kernel send buffer of a connection: the most that a slow caller fills. */
 #define SEND_BYTES (32 * 1024)
 
-#define PENDING_MAX                                                            \
-  (32 * 1024)        /* a stream pauses above these unwritten bytes */
+/* Bytes that wait to be written; above that a stream pauses. */
+#define PENDING_MAX (32 * 1024)
 #define SWEEP_S 0.25 /* interval of checks for idle connections, s */
 #define MS_PER_S 1000
 
--- a/packages/net/pwtcp.c
+++ b/packages/net/pwtcp.c
@@ -18,13 +18,16 @@
 
 #define READ_BYTES (64 * 1024) /* bytes of one read */
 #define BACKLOG 1024           /* connections that wait to be accepted */
-#define LINGER_MS                                                              \
-  3000 /* longest that a peer which reads nothing can delay a close */
-#define OUT_RETAIN_MAX                                                         \
-  (16 * 1024) /* a larger output buffer is freed once it is empty, bytes */
+
+/* Longest time that a peer which reads nothing can delay a close, ms. */
+#define LINGER_MS 3000
+
+/* Bytes of an output buffer that are kept once it is empty; a larger buffer is freed. */
+#define OUT_RETAIN_MAX (16 * 1024)
 #define DRAIN_MS 1000 /* how long a closing connection discards input */
-#define ITERATION_MAX_MS                                                       \
-  500 /* default of lag.turn_ms: longest iteration without a stall */
+
+/* Default of lag.turn_ms: the longest iteration of a loop that is not stalled. */
+#define ITERATION_MAX_MS 500
 #define MS_PER_S 1000.0
 
 struct pw_tcp {
