--- a/packages/core/pwduration.c
+++ b/packages/core/pwduration.c
@@ -1,4 +1,4 @@
-/* pwduration.c: times as others write them. */
+/* pwduration.c: parses durations in headers of other systems. */
 #include "pwduration.h"
 
 #include <math.h>
@@ -6,6 +6,7 @@
 #include <string.h>
 
 #define MS_PER_S 1000.0
+/* Bytes of the longest number, with its zero; a longer text is no duration. */
 #define TEXT_MAX 24
 #define DIGITS "0123456789."
 
