--- a/packages/store/pwstate.c
+++ b/packages/store/pwstate.c
@@ -21,8 +21,7 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_NO_RESEND_IN_SNAPSHOT =
-      11,                   /* a snapshot omits outcomes kept for resends */
+  MUT_NO_RESEND_IN_SNAPSHOT = 11, /* a snapshot omits the kept outcomes */
   MUT_NO_VERSION_CHECK = 12 /* two changes of the same version both succeed */
 };
 
