--- a/examples/demo/demo.lua
+++ b/examples/demo/demo.lua
@@ -1,4 +1,5 @@
--- demo.lua: the main job once, end to end, on loopback.
+-- demo.lua: starts a small fleet on loopback, sends the turns of one chat and a request that may run only
+-- once, and shows where they were answered.
 local fleet = require("fleet")
 
 local f = fleet.new{entries = 2, engines = 3, services = 1, zones = 3}
@@ -14,7 +15,7 @@
   local ok = fleet.is_answer(r, o)
   if not ok then bad = bad + 1 end
   print(string.format("turn %d  entry-%d  %-10s %s by %-9s cached %4s of %4s prompt tokens", i, entry,
-    stream and "streamed" or "whole", ok and "answered" or "BROKEN", r["Peatwell-Target"] or "-",
+    stream and "streamed" or "complete", ok and "answered" or "BROKEN", r["Peatwell-Target"] or "-",
     r["Peatwell-Cached-Tokens"] or "-", r["Peatwell-Prompt-Tokens"] or "-"))
   return o.text
 end
@@ -33,7 +34,7 @@
 if runs ~= 1 then bad = bad + 1 end
 
 print((f:peatwell("status")))
-print("time line (last 25 events):")
+print("timeline (last 25 events):")
 local lines = {}
 for line in f:peatwell("timeline"):gmatch("[^\n]+") do lines[#lines + 1] = line end
 for i = math.max(1, #lines - 24), #lines do print(lines[i]) end
@@ -56,5 +57,5 @@
   return
 end
 f:stop()
-if bad > 0 then error(bad .. " answers were not whole") end
-print("demo: every answer was whole and its own; everything stopped cleanly")
+if bad > 0 then error(bad .. " answers were not complete") end
+print("demo: every answer was complete and its own; everything stopped cleanly")
