--- a/tests/fakes/fake_engine.c
+++ b/tests/fakes/fake_engine.c
@@ -1,6 +1,5 @@
-/* fake_engine.c: a model engine for tests: batches, a prefix cache of limited
-** size with eviction, streams that can be resumed and cancelled, and faults.
-** Speaks the protocol of docs/ENGINE.md. */
+/* fake_engine.c: a stand-in model engine for tests, with batches, a prefix cache of limited size, streams that
+** can be resumed and cancelled, and faults. It implements the protocol of docs/ENGINE.md. */
 #define _GNU_SOURCE
 #include "cachelog.h"
 #include "models.h"
@@ -26,17 +25,17 @@
 typedef struct cached {
   char key[ID_BYTES * 2];
   uint32_t tokens;
-  int64_t at; /* last used */
+  int64_t at; /* ms, last use */
   UT_hash_handle hh;
 } cached;
 
-/* An answer, kept so that it can be resumed. */
+/* An answer, kept so that its stream can be resumed. */
 typedef struct answer {
   char id[ID_BYTES];
   pw_buf text;
   uint32_t cached, prompt, tokens;
   int cancelled;
-  int runs; /* times it was begun from nothing */
+  int runs; /* runs that began at the start of the answer */
   UT_hash_handle hh;
 } answer;
 
@@ -47,19 +46,20 @@
   answer *answers;
   int active, batch, most;
   double token_ms, prefill_per_ms;
-  double import_per_ms; /* tokens taken over from another engine */
+  double
+      import_per_ms; /* speed of imports from another engine, tokens per ms */
   int no_export;
   long imports, exports;
   long started, ended, cancels, resumed, cut;
   long cached_tokens, prompt_tokens;
-  int cut_next;      /* cut this many answers half way */
-  int fail_next;     /* answer this many with 500 */
-  int hang_next;     /* never answer this many */
-  int shed_next;     /* turn this many away: not run, said so ... */
-  double hold_off_s; /* ... with a wish to be left alone for so long */
+  int cut_next;  /* cut this many answers halfway */
+  int fail_next; /* answer this many with 500 */
+  int hang_next; /* never answer this many */
+  int shed_next; /* refuse this many, with the header that they were not run */
+  double hold_off_s; /* Retry-After of these refusals, seconds; 0: none */
   long shed;
-  double slow;    /* factor on all times */
-  char pad[2048]; /* added to each piece of a stream */
+  double slow;    /* factor for all durations */
+  char pad[2048]; /* padding added to each event of a stream */
 } engine = {.lock = PTHREAD_MUTEX_INITIALIZER,
             .cache_size = 200000,
             .batch = 32,
@@ -83,7 +83,8 @@
   nanosleep(&ts, NULL);
 }
 
-/* Tokens of the prompt cached under key, and the cache afterwards. */
+/* Returns the tokens of the prompt that are cached under key, caches the whole prompt and evicts the least
+** recently used entries when the cache is full. */
 static uint32_t use_cache(const char *key, uint32_t prompt) {
   cached *c;
   uint32_t hit = 0;
@@ -118,7 +119,7 @@
   return s ? s : "";
 }
 
-/* The answer repeats the question, so that a test sees whose it is. */
+/* The answer repeats the question, so that a test can check that it belongs to its request. */
 static void write_answer(answer *a, const json_t *doc, int stream) {
   const json_t *max = json_object_get(doc, "max_tokens");
   uint32_t n = max ? (uint32_t)json_integer_value(max) : 16;
@@ -170,7 +171,7 @@
   return rc;
 }
 
-/* Not run, and left alone for so long if anything is said of it. */
+/* Refuses a request as not run, with a Retry-After when hold_off_s is above 0. */
 static enum MHD_Result shed(struct MHD_Connection *c, double hold_off_s) {
   struct MHD_Response *r =
       MHD_create_response_from_buffer(2, (void *)"{}", MHD_RESPMEM_PERSISTENT);
@@ -193,7 +194,7 @@
   return rc;
 }
 
-/* Another engine asks what is cached under a key. */
+/* Answers another engine with the tokens cached under a key. */
 static enum MHD_Result export_kv(struct MHD_Connection *c) {
   const char *key =
       MHD_lookup_connection_value(c, MHD_GET_ARGUMENT_KIND, "key");
@@ -228,7 +229,7 @@
   return reply_json(c, 200, out);
 }
 
-/* Takes over what another engine has cached under a key; gives its tokens. */
+/* Imports what another engine has cached under a key; returns the number of tokens. */
 static uint32_t import_kv(const char *url, const char *key) {
   pw_buf path = {0}, out = {0};
   int status = 0;
@@ -272,13 +273,13 @@
   return a;
 }
 
-static double pace(void) {
-  double crowd =
+static double token_time_ms(void) {
+  double overload =
       engine.active > engine.batch ? (double)engine.active / engine.batch : 1;
-  return engine.token_ms * crowd * engine.slow;
+  return engine.token_ms * overload * engine.slow;
 }
 
-/* One event a call for streams, all at once for whole answers. */
+/* Content reader of microhttpd: one event per call for a stream, everything at once for other answers. */
 static ssize_t read_answer(void *cls, uint64_t pos, char *buf, size_t max) {
   request *r = cls;
   uint64_t at = r->offset + pos;
@@ -299,7 +300,7 @@
   if (r->cut_at && at + n > (uint64_t)r->cut_at)
     n = (size_t)((uint64_t)r->cut_at - at);
   memcpy(buf, from, n);
-  sleep_ms(pace());
+  sleep_ms(token_time_ms());
   return (ssize_t)n;
 }
 
@@ -334,7 +335,7 @@
   return v ? atof(v) : old;
 }
 
-/* The engine gives its whole cache up, as it may for want of memory. */
+/* Evicts the whole cache, as an engine short of memory may. */
 static void evict_all(void) {
   cached *c, *tmp;
   pthread_mutex_lock(&engine.lock);
@@ -385,7 +386,7 @@
   return reply(c, 200, "{}");
 }
 
-static int take(int *counter) {
+static int spend(int *counter) {
   if (*counter <= 0)
     return 0;
   --*counter;
@@ -408,17 +409,17 @@
   return rc;
 }
 
-/* A prompt that holds this word ends the process as it begins to run. */
-static void crash_if_asked(const request *r) {
+/* A prompt that contains this word ends the process when its run starts. */
+static void crash_on_word(const request *r) {
   static const char word[] = "crash-engine";
   if (r->in.len && memmem(r->in.data, r->in.len, word, sizeof word - 1))
     _exit(1);
 }
 
-/* Whether the engine takes nothing now, and says so. */
+/* Whether this request is to be refused; counts the refusals. */
 static int is_shed(void) {
   pthread_mutex_lock(&engine.lock);
-  int yes = take(&engine.shed_next);
+  int yes = spend(&engine.shed_next);
   engine.shed += yes;
   pthread_mutex_unlock(&engine.lock);
   return yes;
@@ -428,7 +429,7 @@
   const char *offset = header(c, "X-Resume-Offset");
   if (is_shed())
     return shed(c, engine.hold_off_s);
-  crash_if_asked(r);
+  crash_on_word(r);
   json_t *doc = json_loadb(r->in.data ? r->in.data : "", r->in.len, 0, NULL);
   const char *model = json_string_value(json_object_get(doc, "model"));
   char version[64] = "";
@@ -436,8 +437,8 @@
   if (header(c, "X-KV-From")[0] && !offset[0])
     import_kv(header(c, "X-KV-From"), header(c, "X-Cache-Key"));
   pthread_mutex_lock(&engine.lock);
-  int fail = take(&engine.fail_next) || !may_run;
-  int hang = take(&engine.hang_next);
+  int fail = spend(&engine.fail_next) || !may_run;
+  int hang = spend(&engine.hang_next);
   engine.active++;
   engine.most = engine.active > engine.most ? engine.active : engine.most;
   r->counted = 1;
@@ -448,7 +449,7 @@
   } else {
     r->a = begin(header(c, "X-Request-Id"), header(c, "X-Cache-Key"), doc,
                  r->in.len);
-    if (take(&engine.cut_next))
+    if (spend(&engine.cut_next))
       r->cut_at = (int)(r->a->text.len / 2);
   }
   double prefill = offset[0] ? 0
@@ -457,7 +458,7 @@
   int stream = json_is_true(json_object_get(doc, "stream"));
   pthread_mutex_unlock(&engine.lock);
   if (!stream && !offset[0])
-    prefill += r->a->tokens * pace();
+    prefill += r->a->tokens * token_time_ms();
   json_decref(doc);
   if (hang)
     sleep_ms(HANG_MS);
@@ -552,5 +553,5 @@
   if (!d)
     return 1;
   sigwait(&signals, &sig);
-  _Exit(0); /* threads may be asleep in a fault */
+  _Exit(0); /* threads may sleep in a fault */
 }
--- a/tests/fakes/fake_service.c
+++ b/tests/fakes/fake_service.c
@@ -1,5 +1,4 @@
-/* fake_service.c: a plain service for tests. It counts how often each request
-** ran, and can close a kept connection instead of answering. */
+/* fake_service.c: a stand-in plain service for tests. It counts how often each request ran, and has faults. */
 #define _GNU_SOURCE
 #include "pwbuf.h"
 
@@ -28,11 +27,11 @@
   pthread_mutex_t lock;
   run *runs;
   int total, most;
-  int close_second; /* close without an answer on a kept connection */
-  int close_next;   /* run, then close without an answer, this many times */
-  int grey;         /* 500 in place of ending, this many times */
-  int shed;         /* turn this many away: not run, said so ... */
-  int hold_off_s;   /* ... with a wish to be left alone for so long */
+  int close_second; /* close instead of answering further requests of a connection */
+  int close_next; /* run, then close without an answer, for this many requests */
+  int grey; /* answer this many crashing requests with 500 instead of crashing */
+  int shed;       /* refuse this many, with the header that they were not run */
+  int hold_off_s; /* Retry-After of these refusals, seconds */
   int refused;
   int delay_ms;
 } service = {.lock = PTHREAD_MUTEX_INITIALIZER};
@@ -53,7 +52,7 @@
   pthread_mutex_unlock(&service.lock);
 }
 
-/* Reads one request; the body is at *body. Gives 0 at the end. */
+/* Reads one request and sets *body; returns 0 when the connection has ended. */
 static int read_request(int fd, char *buf, char **body) {
   size_t n = 0;
   char *end = NULL;
@@ -97,7 +96,7 @@
   return p ? atoi(p + strlen(name)) : old;
 }
 
-/* Answers one request. Gives 0 when the connection is to be closed. */
+/* Answers one request; returns 0 when the connection is to be closed. */
 static int serve(int fd, const char *head, const char *body, int first) {
   char text[HEAD_MAX];
   if (strstr(head, " /stats ")) {
@@ -133,7 +132,7 @@
     dprintf(fd, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
     return 1;
   }
-  if (crashes) /* as it begins to run */
+  if (crashes) /* when its run starts */
     _exit(1);
   count(body);
   if (service.delay_ms) {
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -1,12 +1,12 @@
-/* fake_target.c: a target as the platform has them, for scenarios: requests
-** with a signature, streams of events, heartbeats, and faults on demand.
+/* fake_target.c: a stand-in for a target of the platform: signed answers, streams of events, heartbeats and
+** faults.
 **
 ** fake-target IP:PORT CONTROL,CONTROL SERVICE ZONE ID [ADVERTISED [VERSION]]
-** GET /fault?NAME=N sets a fault, GET /stats tells what was seen, GET /ran?ID how
-** often a request ran. ADVERTISED is the address that heartbeats name. A request whose
-** /hold_off?TEXT is what it asks for with a Retry-After when it sheds, "+" for a blank; two lines
-** where it holds a ";". A request whose
-** body begins with "crash" ends the process as it begins to run, one that begins with
+** ADVERTISED is the address in the heartbeats.
+** GET /fault?NAME=N sets a fault. GET /stats returns counters, GET /ran?ID how often a request ran.
+** GET /hold_off?TEXT sets the Retry-After of the faults shed, shed_ran and hint: "+" stands for a blank, and
+** ";" separates the values of several header lines.
+** A request whose body begins with "crash" ends the process when its run starts, one that begins with
 ** "crash-midway" after the first event of its stream. */
 #include "pwbuf.h"
 #include "pwclock.h"
@@ -26,30 +26,30 @@
 #define CONTROLS_MAX 8
 #define SLOTS 8
 
-/* X(name): faults; each is a number, mostly of requests to come. */
+/* X(name): faults; each is a number, mostly of the next requests that it applies to. */
 #define FAULTS(X)                                                              \
-  X(refuse)       /* not run, said so */                                       \
-  X(shed)         /* not run, said so, with a Retry-After */                   \
-  X(shed_ran)     /* the same status and line of one that has run */           \
-  X(hint)         /* an answer of success with a Retry-After */                \
-  X(says_leaving) /* every answer says that it leaves */                       \
+  X(refuse)       /* refused with proof that nothing ran */                    \
+  X(shed)         /* the same with a Retry-After */                            \
+  X(shed_ran)     /* run, then 503 with a Retry-After */                       \
+  X(hint)         /* a successful answer with a Retry-After */                 \
+  X(says_leaving) /* every answer says that the target is leaving */           \
   X(error)        /* run, 500 */                                               \
   X(cut)          /* run, broken off in the middle of the answer */            \
   X(reset)        /* run, no answer, reset */                                  \
   X(mute)         /* run, no answer at all */                                  \
-  X(extra)        /* a second answer after the whole one */                    \
+  X(extra)        /* a second answer after the complete one */                 \
   X(unsigned_answer)                                                           \
   X(unframed) /* the answer ends with its connection */                        \
   X(delay)    /* ms before an answer */                                        \
   X(gap)      /* ms between events */                                          \
-  X(leaving)  /* says so in its heartbeats */                                  \
+  X(leaving)  /* the heartbeats say that the target is leaving */              \
   X(silent)   /* no heartbeats */                                              \
-  X(closing)  /* closes a kept connection when a request comes over it */      \
-  X(cold)     /* ms that its heartbeats say that it is cold */                 \
-  X(grey)     /* 500 in place of ending */                                     \
-  X(bad)      /* of a hundred requests that run so many fail */                \
-  X(skip)     /* numbers of heartbeats to leave out at the next one */         \
-  X(unborn)   /* its heartbeats do not say when it started */
+  X(closing)  /* closes a reused connection when a request arrives */          \
+  X(cold)     /* ms for which the heartbeats report the target as cold */      \
+  X(grey)     /* a crashing request gets 500 instead of a crash */             \
+  X(bad)      /* percentage of the requests that run and fail */               \
+  X(skip)     /* added to the number of the next heartbeat */                  \
+  X(unborn)   /* the heartbeats do not contain the start time */
 
 typedef struct faults {
 #define FAULT_FIELD(name) int name;
@@ -69,7 +69,7 @@
   pw_buf body;
   int served;
   ev_timer timer;
-  int event, events; /* of a stream that is under way */
+  int event, events; /* next event and last one of a stream in flight */
   char id[ID_MAX];
   int cut_at;
   int is_busy;
@@ -149,7 +149,7 @@
   snprintf(out, 96, "X-Replica-Seal: seal-%s\r\n", me.id);
 }
 
-/* Adds the lines that ask to be left alone. */
+/* Adds the Retry-After lines. */
 static void ask_hold_off(pw_buf *lines) {
   char text[ID_MAX], *save = NULL;
   pw_copy(text, sizeof text, me.hold_off);
@@ -158,7 +158,7 @@
     pwbuf_fmt(lines, "Retry-After: %s\r\n", one);
 }
 
-/* Answers with these lines and a Retry-After. */
+/* Answers with these header lines and the Retry-After lines. */
 static void answer_hold_off(peer *p, int status, const char *lines,
                             const char *body) {
   pw_buf all = {0};
@@ -168,8 +168,8 @@
   pwbuf_free(&all);
 }
 
-/* Spread evenly: of each hundred that run. */
-static int is_one_of_bad(void) {
+/* Whether this run is one of the `bad` failures in each hundred runs, which are spread evenly. */
+static int is_bad_run(void) {
   return me.total % 100 * me.f.bad / 100 !=
          (me.total % 100 + 1) * me.f.bad / 100;
 }
@@ -201,7 +201,7 @@
   char event[160], piece[200];
   int n = snprintf(event, sizeof event, "id: %d\ndata: %s-%d\n\n", p->event,
                    p->id, p->event);
-  if (p->event == p->cut_at) { /* in the middle of an event */
+  if (p->event == p->cut_at) { /* breaks off within an event */
     int m = snprintf(piece, sizeof piece, "%x\r\n%.*s", n, n / 2, event);
     pwtcp_write(p->tcp, piece, (size_t)m);
     p->is_busy = 0;
@@ -247,7 +247,7 @@
     begin_stream(p);
     return;
   }
-  if (spend(&me.f.error) || is_one_of_bad()) {
+  if (spend(&me.f.error) || is_bad_run()) {
     seal(line);
     answer(p, 500, line, "failed");
     return;
@@ -390,7 +390,7 @@
   return p->m.nurl >= strlen(path) && !memcmp(p->m.url, path, strlen(path));
 }
 
-static void take(peer *p) {
+static void dispatch(peer *p) {
   p->is_busy = 1;
   if (path_is(p, "/stats"))
     serve_stats(p);
@@ -422,8 +422,8 @@
       return;
     }
     if (p->m.state == PWH1_DONE) {
-      take(p);
-      return; /* callers here send one request at a time */
+      dispatch(p);
+      return; /* a connection carries one request at a time */
     }
   }
 }
@@ -481,7 +481,7 @@
 
 static void on_beat_ended(void *arg, pw_tcp_end how) {
   (void)how;
-  me.at_control++; /* another one next time */
+  me.at_control++; /* the next heartbeat goes to another control instance */
   end_beat(arg);
 }
 
--- a/tests/fakes/hanging_disk.c
+++ b/tests/fakes/hanging_disk.c
@@ -1,6 +1,6 @@
-/* hanging_disk.c: a disk that hangs: what is synced waits until that is over. It hangs for HANG_MS from each
-** SIGUSR2 on, and from PW_DISK_HANGS="AFTER_MS,FOR_MS" after the process's start. It stands in for
-** fdatasync in peatwelld-hanging. */
+/* hanging_disk.c: replaces fdatasync in peatwelld-hanging by one that waits while the simulated disk hangs.
+** The disk hangs for HANG_MS after each SIGUSR2, and for FOR_MS from AFTER_MS after the start of the process
+** when PW_DISK_HANGS="AFTER_MS,FOR_MS" is set. */
 #define _GNU_SOURCE
 #include <signal.h>
 #include <stdatomic.h>
@@ -27,7 +27,7 @@
   atomic_store(&hangs_until, now_ms() + HANG_MS);
 }
 
-__attribute__((constructor)) static void read_plan(void) {
+__attribute__((constructor)) static void read_settings(void) {
   const char *text = getenv("PW_DISK_HANGS");
   long after_ms, for_ms;
   signal(SIGUSR2, on_signal);
@@ -37,15 +37,15 @@
   atomic_store(&hangs_until, now_ms() + after_ms + for_ms);
 }
 
-static int hangs(void) {
+static int is_hanging(void) {
   long now = now_ms();
   return now >= atomic_load(&hangs_from) && now < atomic_load(&hangs_until);
 }
 
-int sync_when_back(int fd) __asm__("fdatasync");
+int hanging_fdatasync(int fd) __asm__("fdatasync");
 
-int sync_when_back(int fd) {
-  while (hangs())
+int hanging_fdatasync(int fd) {
+  while (is_hanging())
     usleep(STEP_US);
   return (int)syscall(SYS_fdatasync, fd);
 }
--- a/tests/fakes/models.c
+++ b/tests/fakes/models.c
@@ -1,4 +1,4 @@
-/* models.c: models that the stand-in engine carries, and orders about them. */
+/* models.c: the models of the stand-in engine, and the orders that load and retire them. */
 #include "models.h"
 
 #include "pwbuf.h"
@@ -13,9 +13,9 @@
 typedef struct model {
   char name[64];
   char version[64];
-  int64_t ready_at; /* it is loaded then */
-  int fails;        /* instead */
-  int there;
+  int64_t ready_at; /* ms; the load ends then */
+  int fails;        /* the load fails at its end */
+  int is_present;   /* 0: the model is retired, or its load has failed */
   json_t *adapters;
 } model;
 
@@ -37,12 +37,12 @@
 }
 
 static const char *state_of(model *m) {
-  if (!m->there)
+  if (!m->is_present)
     return "";
   if (pwclock_ms() < m->ready_at)
     return "loading";
   if (m->fails)
-    m->there = 0;
+    m->is_present = 0;
   return m->fails ? "" : "loaded";
 }
 
@@ -65,25 +65,26 @@
     m = &models[nmodels++];
     pw_copy(m->name, sizeof m->name, pwjson_text(order, "model"));
   }
-  int same = m->there && !strcmp(m->version, pwjson_text(order, "version"));
+  int same =
+      m->is_present && !strcmp(m->version, pwjson_text(order, "version"));
   pw_copy(m->version, sizeof m->version, pwjson_text(order, "version"));
   json_decref(m->adapters);
   m->adapters = json_deep_copy(json_object_get(order, "adapters"));
   m->fails = faults.fail_loads > 0;
   faults.fail_loads -= m->fails;
-  m->there = 1;
+  m->is_present = 1;
   if (!same)
     m->ready_at = pwclock_ms() + (int64_t)faults.load_ms;
   return 202;
 }
 
-static int carry_out(const json_t *order) {
+static int execute(const json_t *order) {
   const char *op = pwjson_text(order, "op");
   if (!strcmp(op, "load"))
     return load(order);
   model *m = find(pwjson_text(order, "model"));
   if (!strcmp(op, "retire") && m)
-    m->there = 0;
+    m->is_present = 0;
   else if (!strcmp(op, "role"))
     pw_copy(role, sizeof role, pwjson_text(order, "role"));
   return 202;
@@ -98,7 +99,7 @@
     orders++;
     newest_term = term;
     newest_sequence = sequence;
-    status = carry_out(order);
+    status = execute(order);
   }
   pthread_mutex_unlock(&lock);
   return status;
@@ -110,7 +111,7 @@
   for (int i = 0; i < nmodels; i++) {
     model *m = &models[i];
     const char *state = state_of(m);
-    if (!m->there)
+    if (!m->is_present)
       continue;
     json_array_append_new(list, json_pack("{s:s,s:s,s:s,s:O}", "model", m->name,
                                           "version", m->version, "state", state,
@@ -121,7 +122,7 @@
   return o;
 }
 
-/* A model that no order ever named is served as the engine came. */
+/* A model that no order has named is served without a version, as at the engine's start. */
 int models_may_run(const char *name, char version[64]) {
   pthread_mutex_lock(&lock);
   model *m = find(name);
@@ -141,7 +142,7 @@
 void models_forget(void) {
   pthread_mutex_lock(&lock);
   for (int i = 0; i < nmodels; i++)
-    models[i].there = 0;
+    models[i].is_present = 0;
   pthread_mutex_unlock(&lock);
 }
 
--- a/tests/fakes/skewed_clock.c
+++ b/tests/fakes/skewed_clock.c
@@ -1,5 +1,5 @@
-/* skewed_clock.c: the clock of an instance that is suspended: each SIGUSR2 is a pause of SKEW_MS, which
-** the clock of its loops does not count. It stands in for pwclock.c in peatwelld-skewed. */
+/* skewed_clock.c: replaces pwclock.c in peatwelld-skewed. Each SIGUSR2 advances pwclock_ms by SKEW_MS, as a
+** suspension of the instance does; the clock of the event loops is not advanced. */
 #define pwclock_ms pwclock_true_ms
 #include "../../packages/core/pwclock.c"
 #undef pwclock_ms
@@ -16,7 +16,7 @@
   atomic_fetch_add(&skew_ms, SKEW_MS);
 }
 
-__attribute__((constructor)) static void listen_for_pauses(void) {
+__attribute__((constructor)) static void install_handler(void) {
   signal(SIGUSR2, on_signal);
 }
 
--- a/tests/fuzz/fuzz_parsers.c
+++ b/tests/fuzz/fuzz_parsers.c
@@ -1,5 +1,5 @@
-/* fuzz_parsers.c: outside bytes into every parser of ours, for libFuzzer.
-** The first byte chooses the parser. */
+/* fuzz_parsers.c: feeds fuzzed bytes to the parsers of outside data, for libFuzzer. The first byte selects the
+** parser. */
 #define _GNU_SOURCE
 #include "peatwell.pb-c.h"
 #include "platform.h"
@@ -78,7 +78,7 @@
   free(text);
 }
 
-/* A consensus message to a member of three. */
+/* A consensus message to a member of a group of three. */
 static void fuzz_consensus(const uint8_t *data, size_t n) {
   Pw__Cons *m = pw__cons__unpack(NULL, n, data);
   if (!m)
@@ -104,7 +104,7 @@
   pw__cons__free_unpacked(m, NULL);
 }
 
-/* A settings file, in memory. */
+/* A settings file. */
 static void fuzz_settings(const uint8_t *data, size_t n) {
   char path[32];
   pw_settings s;
@@ -119,7 +119,7 @@
   close(fd);
 }
 
-/* An engine's cache events, taken by an agent's picture. */
+/* An engine's cache events, applied to an agent's cache estimate. */
 static void fuzz_cache_events(const uint8_t *data, size_t n) {
   pw_cache_news news;
   pw_cache c;
@@ -131,7 +131,7 @@
   pwkvfeed_clear(&news);
 }
 
-/* Bytes of a connection, in pieces as they may come; then its headers. */
+/* Bytes of an HTTP connection in pieces of up to 64; the headers of a complete message are then read. */
 static void fuzz_http(const uint8_t *data, size_t n) {
   pw_h1 m;
   pw_ask ask;
@@ -159,7 +159,7 @@
   pwh1_free(&m);
 }
 
-/* Documents and heartbeats of the platform. */
+/* Configurations, heartbeats and calls of the platform. */
 static void fuzz_dialect(const uint8_t *data, size_t n) {
   char why[160];
   pw_site *site;
@@ -176,7 +176,7 @@
   free(path);
 }
 
-/* A document, taken after one that is held. */
+/* A configuration document that arrives at a holder of an earlier version. */
 static void fuzz_document(const uint8_t *data, size_t n) {
   Pw__Document *in = pw__document__unpack(NULL, n, data);
   pw_doc *d = pwdoc_new();
@@ -191,14 +191,13 @@
     pw__document__free_unpacked(in, NULL);
 }
 
-static void hear_suspect(void *arg, uint64_t sign, pw_quar_news news) {
+static void check_suspect(void *arg, uint64_t sign, pw_quar_news news) {
   const pw_quarantine *q = arg;
   if (!sign || news == PWQUAR_OLD || pwquar_ends(q, sign) > PW_QUARANTINE_ENDS)
     abort();
 }
 
-/* Loads, and requests under which targets ended, that a gateway tells, one datagram after
-** another. */
+/* Gossip of a gateway, one datagram after another: its loads, and the requests that crashed targets. */
 static void fuzz_gossip(const uint8_t *data, size_t n) {
   pw_told_loads told = {0};
   pw_loads sum = {0};
@@ -208,7 +207,7 @@
     Pw__Gossip *m = pw__gossip__unpack(NULL, len, data + at + 1);
     if (m) {
       pwtold_take(&told, m, 1);
-      pwsuspects_take(q, m->suspects, m->n_suspects, 1, hear_suspect, q);
+      pwsuspects_take(q, m->suspects, m->n_suspects, 1, check_suspect, q);
       pwquar_tick(q, 2);
       pw__gossip__free_unpacked(m, NULL);
     }
--- a/tests/runner/disturb.c
+++ b/tests/runner/disturb.c
@@ -1,5 +1,5 @@
-/* disturb.c: what a busy machine does to processes, drawn from a seed: one or all of a scenario's
-** processes stand still for a while, start late, or stand still again and again. */
+/* disturb.c: disturbances such as a busy machine causes, drawn from a seed: one process of the scenario or
+** all of them are suspended once, one is suspended several times in series, or one starts late. */
 #include "runner.h"
 
 #include <pthread.h>
@@ -9,12 +9,12 @@
 #include <string.h>
 #include <time.h>
 
-#define FIRST_MS 50  /* no pause begins sooner after the start ... */
-#define LAST_MS 8000 /* ... or later */
-#define HOLD_LEAST_MS 10
-#define GAP_MOST_MS 300 /* between pauses of a series */
+#define FIRST_MS 50  /* earliest start of a pause after the scenario's start */
+#define LAST_MS 8000 /* latest start of a pause */
+#define PAUSE_LEAST_MS 10
+#define GAP_MOST_MS 300 /* longest gap between the pauses of a series */
 #define SERIES_MOST 5
-#define PROCESSES 24 /* few scenarios have more */
+#define PROCESSES 24 /* one of these is drawn; few scenarios have more */
 
 typedef enum kind {
   PAUSE_ONE,
@@ -24,16 +24,16 @@
   NKINDS
 } kind;
 
-/* What is done in this run. */
+/* The disturbance of this run. */
 typedef struct disturbance {
   kind kind;
-  int after_ms, hold_ms, gap_ms, times;
-  int pick; /* which of the processes that are there then, in the order of their starts */
+  int after_ms, pause_ms, gap_ms, times;
+  int pick; /* index of the process in the order of starts */
 } disturbance;
 
-/* The longest that a process stands still, and all at once: within most limits of the product. */
-static int hold_most_ms = 2000;
-static int hold_all_most_ms = 800;
+/* Longest pause of one process, and of all processes at once; shorter than most limits of the product. */
+static int pause_most_ms = 2000;
+static int pause_all_most_ms = 800;
 
 static disturbance drawn;
 static int is_on;
@@ -54,38 +54,38 @@
   nanosleep(&ts, NULL);
 }
 
-/* Those that stand still now, one or all that are there. */
-static void hold(int is_all) {
+/* Suspends one process, or all that run, for pause_ms. */
+static void suspend(int is_all) {
   int n = runner_count();
   if (n == 0)
     return;
   int from = is_all ? 0 : drawn.pick % n;
   int past = is_all ? n : from + 1;
   for (int i = from; i < past; i++)
-    runner_hold(i);
-  sleep_ms(drawn.hold_ms);
+    runner_suspend(i);
+  sleep_ms(drawn.pause_ms);
   for (int i = from; i < past; i++)
-    runner_release(i);
+    runner_resume(i);
 }
 
-static void *play(void *arg) {
+static void *run_pauses(void *arg) {
   (void)arg;
   sleep_ms(drawn.after_ms);
   for (int i = 0; i < drawn.times; i++) {
-    hold(drawn.kind == PAUSE_ALL);
+    suspend(drawn.kind == PAUSE_ALL);
     sleep_ms(drawn.gap_ms);
   }
   return NULL;
 }
 
-static void *release_late(void *arg) {
+static void *resume_late(void *arg) {
   (void)arg;
-  sleep_ms(drawn.hold_ms);
-  runner_release(drawn.pick);
+  sleep_ms(drawn.pause_ms);
+  runner_resume(drawn.pick);
   return NULL;
 }
 
-static void begin(void *(*f)(void *)) {
+static void start_thread(void *(*f)(void *)) {
   pthread_t thread;
   if (pthread_create(&thread, NULL, f, NULL) == 0)
     pthread_detach(thread);
@@ -100,18 +100,18 @@
   int is_all = drawn.kind == PAUSE_ALL;
   int is_series = drawn.kind == PAUSE_SERIES;
   drawn.after_ms = between(&state, FIRST_MS, LAST_MS);
-  drawn.hold_ms =
-      between(&state, HOLD_LEAST_MS, is_all ? hold_all_most_ms : hold_most_ms);
+  drawn.pause_ms = between(&state, PAUSE_LEAST_MS,
+                           is_all ? pause_all_most_ms : pause_most_ms);
   drawn.times = is_series ? between(&state, 2, SERIES_MOST) : 1;
   drawn.gap_ms = between(&state, 1, GAP_MOST_MS);
   drawn.pick = mix(&state) % PROCESSES;
 }
 
-/* KIND,AFTER_MS,HOLD_MS,TIMES,GAP_MS,PROCESS, as is printed. 0, or -1. */
+/* Reads KIND,AFTER_MS,HOLD_MS,TIMES,GAP_MS,PROCESS, the form that runner_disturb prints. Returns 0 or -1. */
 static int read_spec(const char *text) {
   char name[16];
   if (sscanf(text, "%15[a-z-],%d,%d,%d,%d,%d", name, &drawn.after_ms,
-             &drawn.hold_ms, &drawn.times, &drawn.gap_ms, &drawn.pick) != 6)
+             &drawn.pause_ms, &drawn.times, &drawn.gap_ms, &drawn.pick) != 6)
     return -1;
   for (int i = 0; i < NKINDS; i++) {
     if (strcmp(names[i], name) != 0)
@@ -122,10 +122,10 @@
   return -1;
 }
 
-int runner_hold_most(const char *text) {
-  return sscanf(text, "%d,%d", &hold_most_ms, &hold_all_most_ms) == 2 &&
-                 hold_most_ms >= HOLD_LEAST_MS &&
-                 hold_all_most_ms >= HOLD_LEAST_MS
+int runner_pause_limits(const char *text) {
+  return sscanf(text, "%d,%d", &pause_most_ms, &pause_all_most_ms) == 2 &&
+                 pause_most_ms >= PAUSE_LEAST_MS &&
+                 pause_all_most_ms >= PAUSE_LEAST_MS
              ? 0
              : -1;
 }
@@ -139,16 +139,16 @@
   }
   is_on = 1;
   printf("disturbed: seed %s: %s,%d,%d,%d,%d,%d\n", text, names[drawn.kind],
-         drawn.after_ms, drawn.hold_ms, drawn.times, drawn.gap_ms, drawn.pick);
+         drawn.after_ms, drawn.pause_ms, drawn.times, drawn.gap_ms, drawn.pick);
   fflush(stdout);
   if (drawn.kind != START_LATE)
-    begin(play);
+    start_thread(run_pauses);
   return 0;
 }
 
 void runner_spawned(int i) {
   if (!is_on || drawn.kind != START_LATE || i != drawn.pick)
     return;
-  runner_hold(i);
-  begin(release_late);
+  runner_suspend(i);
+  start_thread(resume_late);
 }
--- a/tests/runner/http.c
+++ b/tests/runner/http.c
@@ -1,4 +1,4 @@
-/* http.c: HTTP calls for scenarios, alone or beside each other. */
+/* http.c: HTTP calls for scenarios, one at a time or concurrently. */
 #include "runner.h"
 
 #include "pwbuf.h"
@@ -15,12 +15,13 @@
 #define HEADERS_MAX 24
 #define STACK_BYTES (256 * 1024)
 
-static const char *const told[] = {
+static const char *const answer_headers[] = {
     "Peatwell-Request", "Peatwell-Outcome",       "Peatwell-Code",
     "Peatwell-Target",  "Peatwell-Cached-Tokens", "Peatwell-Prompt-Tokens",
     "Retry-After",      "Content-Type",           "Location",
     "X-Request-Id",     "X-Replica-Seal"};
-#define NTOLD ((int)(sizeof told / sizeof told[0]))
+#define NANSWER_HEADERS                                                        \
+  ((int)(sizeof answer_headers / sizeof answer_headers[0]))
 
 typedef struct call {
   char *ca; /* trusted certificate, for https */
@@ -28,12 +29,12 @@
   char *name[HEADERS_MAX], *value[HEADERS_MAX];
   int nheaders;
   int timeout;
-  int stop_reading; /* ms for which nothing is read after the first block */
-  int give_up;      /* bytes after which the caller goes away; 0: never */
+  int stop_reading; /* ms without reading after the first block */
+  int give_up;      /* bytes after which the caller disconnects; 0: never */
   pthread_t thread;
-  /* filled by the call */
+  /* results */
   int status;
-  char *header[NTOLD];
+  char *header[NANSWER_HEADERS];
   pw_buf out;
   pw_code code;
   int64_t began, first, ended;
@@ -42,8 +43,8 @@
 static int on_head(void *arg, int status, const pw_fetch_head *h) {
   call *c = arg;
   c->status = status;
-  for (int i = 0; i < NTOLD; i++)
-    c->header[i] = pw_dup(pwfetch_answer_header(h, told[i]));
+  for (int i = 0; i < NANSWER_HEADERS; i++)
+    c->header[i] = pw_dup(pwfetch_answer_header(h, answer_headers[i]));
   return 0;
 }
 
@@ -59,7 +60,7 @@
   return c->give_up && c->out.len >= (size_t)c->give_up ? -1 : 0;
 }
 
-static void *work(void *arg) {
+static void *run_call(void *arg) {
   call *c = arg;
   pw_fetch_header h[HEADERS_MAX];
   for (int i = 0; i < c->nheaders; i++)
@@ -124,7 +125,7 @@
   lua_setfield(L, -2, name);
 }
 
-/* Pushes {status, body, code, whole, headers by name, first_us, us}. */
+/* Pushes {status, body, code, whole, headers by name, first_us, us}; whole: the answer is complete. */
 static int push_result(lua_State *L, call *c) {
   lua_newtable(L);
   put_number(L, "status", c->status);
@@ -135,10 +136,10 @@
   lua_setfield(L, -2, "whole");
   lua_pushlstring(L, c->out.data ? c->out.data : "", c->out.len);
   lua_setfield(L, -2, "body");
-  for (int i = 0; i < NTOLD; i++) {
+  for (int i = 0; i < NANSWER_HEADERS; i++) {
     if (c->header[i]) {
       lua_pushstring(L, c->header[i]);
-      lua_setfield(L, -2, told[i]);
+      lua_setfield(L, -2, answer_headers[i]);
     }
     free(c->header[i]);
   }
@@ -158,7 +159,7 @@
 
 static int call_now(lua_State *L) {
   call *c = read_call(L);
-  work(c);
+  run_call(c);
   return push_result(L, c);
 }
 
@@ -167,8 +168,8 @@
   pthread_attr_t attr;
   pthread_attr_init(&attr);
   pthread_attr_setstacksize(&attr, STACK_BYTES);
-  if (pthread_create(&c->thread, &attr, work, c) != 0)
-    return luaL_error(L, "no thread");
+  if (pthread_create(&c->thread, &attr, run_call, c) != 0)
+    return luaL_error(L, "cannot start a thread for an HTTP call");
   pthread_attr_destroy(&attr);
   lua_pushlightuserdata(L, c);
   return 1;
@@ -218,7 +219,7 @@
   }
 }
 
-/* json(text) -> table, or nil */
+/* json(text) -> table, or nil when the text is no JSON */
 static int read_json(lua_State *L) {
   size_t n;
   const char *text = luaL_checklstring(L, 1, &n);
--- a/tests/runner/process.c
+++ b/tests/runner/process.c
@@ -1,4 +1,4 @@
-/* process.c: processes, files and time for scenarios. */
+/* process.c: child processes, ports, temporary folders and time for scenarios. */
 #define _GNU_SOURCE
 #include "runner.h"
 
@@ -24,16 +24,16 @@
 #define PROCESSES_MAX 1024
 #define NAME_MAX_BYTES 64
 #define ARGS_MAX 64
-#define PORT_FIRST 10000 /* below those the kernel gives to connections */
+#define PORT_FIRST 10000 /* below the kernel's range for outgoing connections */
 #define PORT_BLOCKS 20
-#define PORTS 1000 /* in a block */
+#define PORTS 1000 /* ports in a block */
 
-/* A process that was spawned. */
+/* A spawned process. */
 typedef struct child {
-  pid_t pid; /* 0: it has ended */
+  pid_t pid; /* 0: the process has ended */
   char name[NAME_MAX_BYTES];
-  int is_stopped; /* by the scenario */
-  int is_held;    /* by runner_hold */
+  int is_stopped; /* suspended by the scenario */
+  int is_paused;  /* suspended by runner_suspend */
 } child;
 
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
@@ -41,7 +41,8 @@
 static int nchildren;
 
 void runner_end_all(void) {
-  pthread_mutex_lock(&lock); /* never given back: nothing is held from now on */
+  pthread_mutex_lock(
+      &lock); /* never unlocked, so that nothing is suspended from now on */
   for (int i = 0; i < nchildren; i++)
     if (children[i].pid > 0) {
       kill(children[i].pid, SIGCONT);
@@ -64,27 +65,27 @@
   return n;
 }
 
-void runner_hold(int i) {
+void runner_suspend(int i) {
   pthread_mutex_lock(&lock);
   child *c = &children[i];
   if (c->pid && !c->is_stopped && kill(c->pid, SIGSTOP) == 0) {
-    c->is_held = 1;
-    printf("held: %s\n", c->name);
+    c->is_paused = 1;
+    printf("suspended: %s\n", c->name);
     fflush(stdout);
   }
   pthread_mutex_unlock(&lock);
 }
 
-void runner_release(int i) {
+void runner_resume(int i) {
   pthread_mutex_lock(&lock);
   child *c = &children[i];
-  if (c->pid && c->is_held && !c->is_stopped)
+  if (c->pid && c->is_paused && !c->is_stopped)
     kill(c->pid, SIGCONT);
-  c->is_held = 0;
+  c->is_paused = 0;
   pthread_mutex_unlock(&lock);
 }
 
-/* Notes a process; gives its number. */
+/* Adds a process to the list; returns its index. */
 static int add_child(pid_t pid, const char *log) {
   pthread_mutex_lock(&lock);
   int i = nchildren++;
@@ -96,9 +97,9 @@
   return i;
 }
 
-/* Child: output to the log file, limits set, then the program. */
-static void become(char **argv, const char *log, rlim_t file_limit,
-                   rlim_t descriptors) {
+/* In the child: redirects the output to the log file, sets the limits and runs the program. */
+static void exec_child(char **argv, const char *log, rlim_t file_limit,
+                       rlim_t descriptors) {
   int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0600);
   if (fd >= 0) {
     dup2(fd, 1);
@@ -137,7 +138,7 @@
     return luaL_error(L, "too many processes");
   pid_t pid = fork();
   if (pid == 0)
-    become(argv, log, limit, descriptors);
+    exec_child(argv, log, limit, descriptors);
   runner_spawned(add_child(pid, log));
   lua_pushinteger(L, pid);
   return 1;
@@ -166,7 +167,7 @@
   return 0;
 }
 
-/* Once it has, its pid may be another's. */
+/* Whether a process has ended. Its pid is forgotten then, since another process may get it. */
 static int has_ended(pid_t pid, int *status) {
   pthread_mutex_lock(&lock);
   int ended = waitpid(pid, status, WNOHANG) == pid;
@@ -177,7 +178,7 @@
   return ended;
 }
 
-/* wait(pid, ms) -> exit code, or -signal, or nil when it still runs */
+/* wait(pid, ms) -> exit code, -signal, or nil when the process still runs */
 static int wait_for(lua_State *L) {
   pid_t pid = (pid_t)luaL_checkinteger(L, 1);
   int64_t until = pwclock_ms() + luaL_checkinteger(L, 2);
@@ -206,8 +207,8 @@
   return ok;
 }
 
-/* First port of a block that no other runner has: its lock is held as long as
-** this process lives. 0: all are taken. */
+/* Returns the first port of a block that no other runner uses, or 0 when all are in use. The lock of the
+** block is held until this process ends. */
 static int take_block(void) {
   for (int i = 0; i < PORT_BLOCKS; i++) {
     char path[64];
@@ -221,8 +222,8 @@
   return 0;
 }
 
-/* A port of this runner's block that the kernel says is free; none twice, since
-** one that was given may not be listened on yet. */
+/* port() -> a free port of this runner's block. No port is returned twice, since a process may not yet
+** listen on one that was returned before. */
 static int free_port(lua_State *L) {
   static int first, next;
   if (!first)
@@ -252,7 +253,7 @@
 static int temp_dir(lua_State *L) {
   char path[] = "/tmp/peatwell-XXXXXX";
   if (!mkdtemp(path))
-    return luaL_error(L, "no temporary folder");
+    return luaL_error(L, "cannot make a temporary folder in /tmp");
   lua_pushstring(L, path);
   return 1;
 }
--- a/tests/runner/raw.c
+++ b/tests/runner/raw.c
@@ -1,4 +1,4 @@
-/* raw.c: bytes over a TCP connection, as a badly behaved caller sends them. */
+/* raw.c: raw bytes over a TCP connection, for requests that a well-behaved caller would not send. */
 #include "runner.h"
 
 #include "pwbuf.h"
@@ -13,7 +13,7 @@
 
 #define BLOCK 16384
 
-static int dial(const char *to) {
+static int connect_to(const char *to) {
   struct sockaddr_in at;
   if (pwtcp_address(to, &at) != 0)
     return -1;
@@ -27,14 +27,14 @@
 
 /* raw_open("IP:PORT") -> connection, or nil */
 static int raw_open(lua_State *L) {
-  int fd = dial(luaL_checkstring(L, 1));
+  int fd = connect_to(luaL_checkstring(L, 1));
   if (fd < 0)
     return 0;
   lua_pushinteger(L, fd);
   return 1;
 }
 
-/* raw_send(connection, bytes) -> whether all were taken */
+/* raw_send(connection, bytes) -> whether all bytes were sent */
 static int raw_send(lua_State *L) {
   size_t n;
   int fd = (int)luaL_checkinteger(L, 1);
@@ -50,8 +50,8 @@
   return 1;
 }
 
-/* raw_read(connection, ms, text) -> bytes, whether it was closed. Reads until
-** the text has come (nil: until the end), or so long. */
+/* raw_read(connection, ms, text) -> bytes, whether the connection was closed. Reads until the text has
+** arrived (nil: until the connection is closed), at most for ms. */
 static int raw_read(lua_State *L) {
   int fd = (int)luaL_checkinteger(L, 1);
   int64_t until = pwclock_ms() + luaL_checkinteger(L, 2);
--- a/tests/runner/relay.c
+++ b/tests/runner/relay.c
@@ -1,4 +1,4 @@
-/* relay.c: a TCP relay between two processes, whose link can fail. */
+/* relay.c: a TCP relay between two processes; its link can be cut, frozen and delayed. */
 #include "runner.h"
 
 #include "pwbuf.h"
@@ -21,8 +21,8 @@
 
 enum { MODE_PASS, MODE_CUT, MODE_FREEZE };
 
-/* Cut: connections are closed and refused. Freeze: bytes stay where they are
-** and both sides believe the link is up. */
+/* MODE_CUT closes and refuses connections. MODE_FREEZE forwards nothing and keeps the connections open, so
+** that both sides believe that the link is up. */
 typedef struct relay {
   int listen_fd;
   int target;
@@ -35,7 +35,7 @@
   int a, b;
 } link_pair;
 
-static int dial(int port) {
+static int connect_to(int port) {
   struct sockaddr_in at = {.sin_family = AF_INET,
                            .sin_port = htons((uint16_t)port),
                            .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -47,7 +47,7 @@
   return -1;
 }
 
-static int move(const relay *r, int from, int to) {
+static int forward(const relay *r, int from, int to) {
   char buf[BLOCK];
   ssize_t n = recv(from, buf, sizeof buf, 0);
   int delay = atomic_load(&r->delay_ms);
@@ -66,7 +66,7 @@
   return 0;
 }
 
-static void *carry(void *arg) {
+static void *run_link(void *arg) {
   link_pair *l = arg;
   struct pollfd p[2] = {{l->a, POLLIN, 0}, {l->b, POLLIN, 0}};
   int up = 1;
@@ -77,9 +77,9 @@
     }
     if (poll(p, 2, POLL_MS) <= 0)
       continue;
-    if (p[0].revents && move(l->r, l->a, l->b) != 0)
+    if (p[0].revents && forward(l->r, l->a, l->b) != 0)
       up = 0;
-    if (up && p[1].revents && move(l->r, l->b, l->a) != 0)
+    if (up && p[1].revents && forward(l->r, l->b, l->a) != 0)
       up = 0;
   }
   close(l->a);
@@ -88,13 +88,13 @@
   return NULL;
 }
 
-static void *serve(void *arg) {
+static void *accept_links(void *arg) {
   relay *r = arg;
   for (;;) {
     int a = accept(r->listen_fd, NULL, NULL);
     if (a < 0)
       continue;
-    int b = atomic_load(&r->mode) == MODE_CUT ? -1 : dial(r->target);
+    int b = atomic_load(&r->mode) == MODE_CUT ? -1 : connect_to(r->target);
     pthread_t t;
     if (b < 0) {
       close(a);
@@ -102,13 +102,13 @@
     }
     link_pair *l = pw_alloc(sizeof *l);
     *l = (link_pair){r, a, b};
-    if (pthread_create(&t, NULL, carry, l) == 0)
+    if (pthread_create(&t, NULL, run_link, l) == 0)
       pthread_detach(t);
   }
   return NULL;
 }
 
-/* relay(target port) -> handle, port */
+/* relay(target port) -> handle, port of the relay */
 static int open_relay(lua_State *L) {
   relay *r = pw_alloc(sizeof *r);
   struct sockaddr_in at = {.sin_family = AF_INET,
@@ -120,8 +120,8 @@
   if (bind(r->listen_fd, (struct sockaddr *)&at, sizeof at) != 0 ||
       listen(r->listen_fd, 256) != 0 ||
       getsockname(r->listen_fd, (struct sockaddr *)&at, &len) != 0 ||
-      pthread_create(&t, NULL, serve, r) != 0)
-    return luaL_error(L, "no relay");
+      pthread_create(&t, NULL, accept_links, r) != 0)
+    return luaL_error(L, "cannot start a relay");
   pthread_detach(t);
   lua_pushlightuserdata(L, r);
   lua_pushinteger(L, ntohs(at.sin_port));
--- a/tests/runner/runner.c
+++ b/tests/runner/runner.c
@@ -20,21 +20,21 @@
   return 0;
 }
 
-/* Calls run.on_fail, if a scenario set it. */
-static void show_logs(lua_State *L) {
+/* Calls run.on_fail if the scenario has set it. */
+static void call_on_fail(lua_State *L) {
   lua_getglobal(L, "run");
   lua_getfield(L, -1, "on_fail");
   if (lua_isfunction(L, -1))
     lua_pcall(L, 0, 0, 0);
 }
 
-/* Adds to an error which lines of the scenario led to it. */
+/* Message handler of lua_pcall: adds the stack traceback to an error. */
 static int add_traceback(lua_State *L) {
   luaL_traceback(L, L, lua_tostring(L, 1), 1);
   return 1;
 }
 
-static int play(lua_State *L, const char *script) {
+static int run_script(lua_State *L, const char *script) {
   lua_pushcfunction(L, add_traceback);
   int rc = luaL_loadfile(L, script);
   return rc == LUA_OK ? lua_pcall(L, 0, 0, 1) : rc;
@@ -44,21 +44,21 @@
   const char *bin = "build";
   int keep = 0;
   const char *script = NULL;
-  const char *disturb = NULL; /* the seed, or none */
-  const char *hold = NULL;    /* the longest pauses, or as is usual */
+  const char *disturb = NULL;      /* seed or description; NULL: none */
+  const char *pause_limits = NULL; /* longest pauses; NULL: the defaults */
   for (int i = 1; i < argc; i++) {
     if (!strcmp(argv[i], "--bin") && i + 1 < argc)
       bin = argv[++i];
     else if (!strcmp(argv[i], "--disturb") && i + 1 < argc)
       disturb = argv[++i];
     else if (!strcmp(argv[i], "--hold-most") && i + 1 < argc)
-      hold = argv[++i];
+      pause_limits = argv[++i];
     else if (!strcmp(argv[i], "--keep"))
       keep = 1;
     else
       script = argv[i];
   }
-  if (!script || (hold && runner_hold_most(hold) != 0) ||
+  if (!script || (pause_limits && runner_pause_limits(pause_limits) != 0) ||
       (disturb && runner_disturb(disturb) != 0)) {
     fprintf(stderr, "usage: pwscenario [--bin DIR] [--keep] "
                     "[--hold-most ONE_MS,ALL_MS] [--disturb "
@@ -80,13 +80,13 @@
   lua_setfield(L, -2, "keep");
   lua_setglobal(L, "run");
   add_path(L, script);
-  int rc = play(L, script);
+  int rc = run_script(L, script);
   if (rc != LUA_OK) {
     fprintf(stderr, "%s: %s\n", script, lua_tostring(L, -1));
-    show_logs(L);
+    call_on_fail(L);
   }
   if (!keep || rc != LUA_OK)
     runner_end_all();
   fflush(stdout);
-  _Exit(rc == LUA_OK ? 0 : 1); /* relay threads are still at work */
+  _Exit(rc == LUA_OK ? 0 : 1); /* relay threads still run */
 }
--- a/tests/runner/runner.h
+++ b/tests/runner/runner.h
@@ -1,41 +1,41 @@
-/* runner.h: what the scenario runner gives to Lua. */
+/* runner.h: the parts of the scenario runner: functions for Lua, child processes and disturbances. */
 #ifndef RUNNER_H
 #define RUNNER_H
 
 #include <lua.h>
 #include <stdint.h>
 
-/* Processes: spawn, signal, wait, alive, free_port. */
+/* Adds to the table on the stack: spawn, signal, wait, port, now, pause, temp_dir. */
 void runner_open_process(lua_State *L);
 
-/* Ends every process that was started and is still there. */
+/* Kills every child process that still runs. */
 void runner_end_all(void);
 
-/* How many processes were spawned so far. */
+/* Number of child processes spawned so far. */
 int runner_count(void);
 
-/* Has the i-th one stand still, unless it has ended or the scenario stopped it; and go on. */
-void runner_hold(int i);
-void runner_release(int i);
+/* Suspends the i-th child process, unless it has ended or the scenario itself suspended it; resumes it. */
+void runner_suspend(int i);
+void runner_resume(int i);
 
-/* Draws from a seed what a busy machine does to the processes, or reads it, and does it. 0, or -1:
-** it cannot be read. */
+/* Starts a disturbance, such as a busy machine causes: `text` is a seed from which it is drawn, or its
+** description. Returns 0, or -1 when the description cannot be read. */
 int runner_disturb(const char *text);
 
-/* Reads "ONE,ALL": the longest pauses that are drawn, of one process and of all at once, ms; called
-** before runner_disturb. 0, or -1: it cannot be read. */
-int runner_hold_most(const char *text);
+/* Reads "ONE,ALL": the longest pauses to draw, of one process and of all at once, in ms. To be called
+** before runner_disturb. Returns 0, or -1 when the text cannot be read. */
+int runner_pause_limits(const char *text);
 
-/* The i-th process was spawned. */
+/* Called after the i-th child process was spawned. */
 void runner_spawned(int i);
 
-/* HTTP: call, and start ... wait for calls beside each other. */
+/* Adds http, and http_start and http_wait for concurrent calls; json. */
 void runner_open_http(lua_State *L);
 
-/* A TCP relay whose link can be cut, frozen and delayed. */
+/* Adds relay and relay_set: a TCP relay whose link can be cut, frozen and delayed. */
 void runner_open_relay(lua_State *L);
 
-/* Raw bytes over TCP. */
+/* Adds raw_open, raw_send, raw_read and raw_close: bytes over a TCP connection. */
 void runner_open_raw(lua_State *L);
 
 #endif
