--- a/tests/scenarios/05_leaving.lua
+++ b/tests/scenarios/05_leaving.lua
@@ -54,7 +54,7 @@
 for i = 1, 16 do ask(f.entries[i % 2 + 1]) end
 local leader = f:wait_leader()
 fleet.equal("leader exit code", leader:stop(), 0)
-fleet.eventually("another leads", function()
+fleet.eventually("another leader", function()
   local l = f:leader()
   return l and l ~= leader
 end)
@@ -64,6 +64,6 @@
 -- A second signal shortens the stop.
 f.agents[3]:signal("TERM")
 f.agents[3]:signal("TERM")
-fleet.equal("hurried exit code", run.wait(f.agents[3].pid, 10000), 0)
+fleet.equal("exit code after two signals", run.wait(f.agents[3].pid, 10000), 0)
 f.agents[3].gone = true
 f:stop()
--- a/tests/scenarios/06_config.lua
+++ b/tests/scenarios/06_config.lua
@@ -36,7 +36,7 @@
     end
   end
   fleet.equal("winners of round " .. round, wins, 1)
-  fleet.equal("what is stored", get("raced").spec.context_tokens, winner)
+  fleet.equal("the stored value", get("raced").spec.context_tokens, winner)
 end
 
 -- A resend gets the first result, across a change of leader and a restart.
--- a/tests/scenarios/07_disk.lua
+++ b/tests/scenarios/07_disk.lua
@@ -47,7 +47,7 @@
 lost:kill()
 os.execute("rm -rf " .. lost.data_dir)
 lost:start()
-fleet.eventually("it joins", function() return fleet.read(lost.log):find("group%-joined.*start.*group%-joined") end)
+fleet.eventually("the instance with the empty disk joins", function() return fleet.read(lost.log):find("group%-joined.*start.*group%-joined") end)
 repaired()
 accept("repaired", 100)
 
@@ -55,11 +55,11 @@
 local second = f.control[2]
 second:kill()
 os.execute("rm -rf " .. second.data_dir)
-fleet.eventually("a leader of the two left", function() return f:leader() end)
+fleet.eventually("a leader of the two remaining instances", function() return f:leader() end)
 check("after the second loss")
 accept("with-two", 200)
 second:start()
-fleet.eventually("it joins", function() return fleet.read(second.log):find("group%-joined.*start.*group%-joined") end)
+fleet.eventually("the instance with the empty disk joins", function() return fleet.read(second.log):find("group%-joined.*start.*group%-joined") end)
 repaired()
 
 -- All are killed at once and started again.
@@ -73,7 +73,7 @@
 os.execute("rm -rf " .. f.control[3].data_dir)
 f.control[3]:start()
 run.pause(1500)
-fleet.equal("a leader out of nothing", f:leader(), nil)
+fleet.equal("leader of an empty instance alone", f:leader(), nil)
 f.control[1]:start()
 f.control[2]:start()
 f:wait_leader()
@@ -90,15 +90,15 @@
     timeout = 10, body = '{"spec": {"key_hashes": ["' .. blob .. '"]}}'}
   if r.status ~= 200 then refused = r break end
 end
-fleet.expect("refused when full", refused ~= nil)
+fleet.expect("a change is refused when the disk is full", refused ~= nil)
 fleet.equal("its code", refused["Peatwell-Code"], "5003")
-fleet.equal("reads go on", run.http{url = "http://" .. g.control[1].health, path = "/v1/resources"}.status, 200)
+fleet.equal("status of a read with a full disk", run.http{url = "http://" .. g.control[1].health, path = "/v1/resources"}.status, 200)
 local o = {text = "still served"}
-fleet.expect("callers are served", fleet.is_answer(g:ask(o), o))
+fleet.expect("a chat is answered with a full disk", fleet.is_answer(g:ask(o), o))
 g.control[1]:kill()
 g.control[1].file_limit = nil
 g.control[1]:start()
-fleet.eventually("with room again changes go on", function()
+fleet.eventually("changes are accepted again when the disk has space", function()
   return run.http{url = "http://" .. g.control[1].health, method = "PUT", path = "/v1/resources/model/roomy",
     body = '{"spec": {}}'}.status == 200
 end)
--- a/tests/scenarios/10_keys.lua
+++ b/tests/scenarios/10_keys.lua
@@ -10,18 +10,18 @@
 end
 
 -- An agent whose key nobody trusts is not accepted and gets no work.
-local stranger = f:target("stranger", "engine", "az-1")
+local untrusted = f:target("stranger", "engine", "az-1")
 local trust = fleet.read(f.dir .. "/trust")
-stranger.engine:start()
-stranger:start()
+untrusted.engine:start()
+untrusted:start()
 run.pause(1500)
-fleet.equal("an untrusted agent is not ready", stranger:get("/health/ready").status, 503)
+fleet.equal("an untrusted agent is not ready", untrusted:get("/health/ready").status, 503)
 for _, e in ipairs(f.entries) do
   fleet.expect("no entry accepted it", not e:get("/v1/children").body:find("agent%-stranger"))
 end
-stranger:stop()
-stranger.gone, stranger.engine.gone = true, true
-stranger.engine:kill()
+untrusted:stop()
+untrusted.gone, untrusted.engine.gone = true, true
+untrusted.engine:kill()
 
 -- A key file that others can read stops the start; the error says so.
 os.execute("chmod 644 " .. f.dir .. "/agent-engine-1.key")
--- a/tests/scenarios/12_rolling.lua
+++ b/tests/scenarios/12_rolling.lua
@@ -6,7 +6,7 @@
 f:start()
 
 local calls, n = {}, 0
-local function load(count, avoid)
+local function send(count, avoid)
   for _ = 1, count do
     n = n + 1
     local entry = f.entries[n % 3 + 1]
@@ -35,9 +35,9 @@
 -- balancer does for one that is not ready.
 for _, list in ipairs{f.agents, f.control, f.entries} do
   for _, p in ipairs(list) do
-    load(12, p)
+    send(12, p)
     fleet.equal(p.name .. " exit code", p:stop(), 0)
-    load(6, p)
+    send(6, p)
     collect("restart of " .. p.name)
     p:start()
     if list ~= f.control then f:wait_ready(p) else f:wait_leader() end
@@ -46,14 +46,14 @@
 print(n .. " requests, none cut, through " .. (10 + 3 + 3) .. " planned restarts")
 
 -- A tenth of the targets is killed at once, engine and agent.
-load(60)
+send(60)
 run.pause(60)
 f.engines[4]:kill()
 f.agents[4]:kill()
 local complete, broken = collect("a tenth killed", true)
 print(string.format("a tenth killed: %d complete, %d broken off", complete, broken))
 fleet.expect("only requests in flight there are broken off", broken <= 20)
-load(30)
+send(30)
 collect("after it")
 f.engines[4]:start()
 f.agents[4]:start()
--- a/tests/scenarios/14_backup.lua
+++ b/tests/scenarios/14_backup.lua
@@ -32,7 +32,7 @@
 for _, c in ipairs(f.control) do os.execute("rm -rf " .. c.data_dir) end
 for _, c in ipairs(f.control) do c:start() end
 f:wait_leader()
-fleet.expect("nothing is left", not f:peatwell("get"):find("workspace"))
+fleet.expect("no resources are left", not f:peatwell("get"):find("workspace"))
 -- The entry followed the lost group and does not accept another one until it is restarted.
 fleet.eventually("the entry is cut off", function()
   return f.entries[1]:get("/health/ready").status == 503
@@ -54,7 +54,7 @@
 f:wait_ready(f.agents[1])
 f:wait_ready(f.agents[2])
 rolled, why = f:peatwell("status --wait")
-fleet.equal("in service again: " .. rolled, why, 0)
+fleet.equal("in force again: " .. rolled, why, 0)
 local o = {text = "under the new group"}
 local answer = f:ask(o)
 fleet.expect("answered under the new group: " .. answer.body, fleet.is_answer(answer, o))
@@ -63,16 +63,16 @@
 local again = charge()
 fleet.equal("the charge's resend", again["Peatwell-Code"], "4012")
 fleet.equal("its outcome", again["Peatwell-Outcome"], "not-run")
-fleet.expect("when to come back", tonumber(again["Retry-After"]))
+fleet.expect("Retry-After is set", tonumber(again["Retry-After"]))
 fleet.equal("runs of the charge", portal:stats().total, 1)
 text, code = f:peatwell("restore " .. file)
-fleet.expect("the group's number differs still: " .. text, text:find("4012"))
+fleet.expect("the backup is still of another group: " .. text, text:find("4012"))
 text, code = f:peatwell("delete policy once-hold")
-fleet.equal("lifted: " .. text, code, 0)
-fleet.equal("the charge, lifted", charge().status, 200)
+fleet.equal("exit code of delete policy: " .. text, code, 0)
+fleet.equal("status of the charge without the policy", charge().status, 200)
 f:peatwell("backup " .. file)
 text, code = f:peatwell("restore " .. file)
-fleet.expect("a backup of the same group holds nothing back: " .. text, not text:find("4012"))
+fleet.expect("a backup of the same group refuses no resends: " .. text, not text:find("4012"))
 
 -- Orders of the new group must be newer to an engine that remembers the orders of the old one.
 f:apply('[[resource]]\nkind = "version"\nname = "v2"\n[resource.spec]\nmodel = "register"\nstep_s = 0\nmin_requests = 0\n' ..
@@ -86,9 +86,9 @@
 -- Files that are not backups.
 fleet.write(f.dir .. "/other.json", '{"resources": []}')
 text, code = f:peatwell("restore " .. f.dir .. "/other.json")
-fleet.equal("no backup: " .. text, code, 3)
+fleet.equal("exit code for a file that is no backup: " .. text, code, 3)
 fleet.write(f.dir .. "/cut.json", fleet.read(file):sub(1, -40))
 text, code = f:peatwell("restore " .. f.dir .. "/cut.json")
-fleet.equal("cut backup: " .. text, code, 3)
-fleet.equal("nothing changed", names(f:peatwell("get")), names(before))
+fleet.equal("exit code for a truncated backup: " .. text, code, 3)
+fleet.equal("resources after refused backups", names(f:peatwell("get")), names(before))
 f:stop()
--- a/tests/scenarios/16_grow.lua
+++ b/tests/scenarios/16_grow.lua
@@ -36,11 +36,11 @@
 for id = 1, 2 do
   f.control[id]:kill()
   f.control[id].gone = true
-  fleet.eventually("a leader among those left", function() return f:leader() end)
+  fleet.eventually("a leader among the remaining instances", function() return f:leader() end)
 end
 for id = 2, 5 do
   local r = run.http{url = "http://" .. f:wait_leader().health, path = "/v1/resources/model/grown-" .. id}
-  fleet.equal("what was accepted", run.json(r.body).spec.context_tokens, id)
+  fleet.equal("an accepted change", run.json(r.body).spec.context_tokens, id)
 end
-fleet.equal("changes go on", put(9), 200)
+fleet.equal("status of a change with three of five", put(9), 200)
 f:stop()
--- a/tests/scenarios/17_rollout.lua
+++ b/tests/scenarios/17_rollout.lua
@@ -44,7 +44,7 @@
 local text, code = f:apply(VERSION:format("v1") .. MODEL:format('version = "v1"'))
 fleet.equal("applied: " .. text, code, 0)
 until_state("v1 everywhere", function(r) return r.settled and r.to == "v1" and r.serving_to == 4 end)
-for _, e in ipairs(f.engines) do fleet.equal("refused for want of the model", e:stats().models.unloaded, 0) end
+for _, e in ipairs(f.engines) do fleet.equal("requests refused because the model is not loaded", e:stats().models.unloaded, 0) end
 
 -- A leader is suspended during the rollout and the next one finishes it; when the old one continues it
 -- changes nothing.
@@ -77,7 +77,7 @@
 until_state("v2 serves everywhere again", function(r) return r.settled and r.serving_from == 4 end)
 text, code = f:peatwell("status --wait")
 fleet.equal("exit code of status --wait after the rollback: " .. text, code, 1)
-fleet.expect("with its code", text:find("4010", 1, true))
+fleet.expect("the output contains the code", text:find("4010", 1, true))
 
 -- Failed loads are retried; the version is rolled back when they fail at too many targets.
 for _, e in ipairs(f.engines) do e:fault("bad=&fail_loads=9") end
@@ -85,15 +85,15 @@
 fleet.equal("applied: " .. text, code, 0)
 until_state("rolled back because loads failed", function(r) return r.state == "rolled-back" and r.why == "loads-failed" end)
 for _, e in ipairs(f.engines) do e:fault("fail_loads=0") end
-until_state("v2 serves everywhere once more", function(r) return r.settled and r.serving_from == 4 end)
+until_state("v2 serves everywhere after the second rollback", function(r) return r.settled and r.serving_from == 4 end)
 
 -- Fewer replicas: the other targets unload the version. An engine that loses all its models loads them again.
 text, code = f:apply(MODEL:format('version = "v2"\nreplicas = 2'))
 fleet.equal("applied: " .. text, code, 0)
 until_state("two replicas", function(r) return r.settled and r.to == "v2" and r.targets == 2 and r.serving_to == 2 end)
 for _, e in ipairs(f.engines) do e:fault("forget=1") end
-fleet.eventually("the loss is seen", function() local r = rollout() return r and not r.settled end)
-fleet.eventually("loaded anew", function()
+fleet.eventually("the loss is detected", function() local r = rollout() return r and not r.settled end)
+fleet.eventually("loaded again", function()
   local r = rollout()
   return r and r.settled and r.serving_to == 2
 end)
@@ -101,5 +101,5 @@
 for _, e in ipairs(f.engines) do fleet.equal("old orders", e:stats().models.stale, 0) end
 local r = run.http{url = "http://" .. f:wait_leader().health, method = "PUT", path = "/v1/resources/rollout/register",
   body = '{"spec": {}}'}
-fleet.equal("operators do not write it", r["Peatwell-Code"], "1007")
+fleet.equal("code for an operator's change of a rollout", r["Peatwell-Code"], "1007")
 f:stop()
--- a/tests/scenarios/26_gateway_dark.lua
+++ b/tests/scenarios/26_gateway_dark.lua
@@ -40,8 +40,8 @@
 
 -- A target is suspended during streams: those that may be resumed go on at another target, complete and in
 -- order.
-local frozen = g["engine-2"]
-frozen:fault("gap=100")
+local suspended = g["engine-2"]
+suspended:fault("gap=100")
 g["engine-3"]:fault("gap=100")
 local calls = {}
 for i = 1, 12 do
@@ -49,10 +49,10 @@
   calls[i] = {h = run.http_start(c), id = id}
 end
 fleet.eventually("both targets run streams", function()
-  return frozen:stats().total > 0 and g["engine-3"]:stats().total > 0
+  return suspended:stats().total > 0 and g["engine-3"]:stats().total > 0
 end)
 run.pause(300)
-frozen:pause()
+suspended:pause()
 local resumed = 0
 for i, c in ipairs(calls) do
   local r = run.http_wait(c.h)
@@ -61,14 +61,14 @@
 end
 for _, p in ipairs(g.gateways) do resumed = resumed + p:counter("retries_total") end
 fleet.expect("some streams were resumed at another target", resumed > 0)
-frozen:continue()
+suspended:continue()
 
 -- After it continues, it gets work again.
-frozen:fault("gap=0")
+suspended:fault("gap=0")
 fleet.eventually("it serves again", function()
-  local before = frozen:stats().total
+  local before = suspended:stats().total
   for i = 1, 10 do g:ask{path = "/chat/x", events = 2, body = "q", gateway = g.gateways[i % 2 + 1]} end
-  return frozen:stats().total > before
+  return suspended:stats().total > before
 end)
 
 -- The control instance that receives the targets' heartbeats is suspended, and the others take the targets
--- a/tests/scenarios/28_explain.lua
+++ b/tests/scenarios/28_explain.lua
@@ -18,7 +18,7 @@
   local _, _, code = f:close()
   return text, code
 end
-local function explains(what, id, pattern)
+local function wait_explained(what, id, pattern)
   local text
   fleet.eventually(what .. " is explained", function()
     text = trace(id)
@@ -31,7 +31,7 @@
 for _, name in ipairs{"engine-1", "engine-2"} do g[name]:fault("cut=1") end
 local r = g:ask{path = "/chat/x", events = 10, body = "q"}
 fleet.expect("the answer is cut", not r.whole)
-local cut = explains("the cut", r.id, "broken%-off req=" .. r.id .. " .*target=i%-engine%-%d why=\"the target closed\" last=2")
+local cut = wait_explained("the cut", r.id, "broken%-off req=" .. r.id .. " .*target=i%-engine%-%d why=\"the target closed\" last=2")
 fleet.expect("the trace shows where it was sent", cut:find("placed req=" .. r.id .. " .*target=i%-engine"))
 for _, name in ipairs{"engine-1", "engine-2"} do g[name]:fault("cut=0") end
 
@@ -48,7 +48,7 @@
 r = g:ask{path = "/once/a", body = "x"}
 fleet.equal("refused", r.status, 503)
 fleet.expect("Retry-After is set", tonumber(r["Retry-After"]))
-local busy = explains("the refusal", r.id, "refused req=" .. r.id .. " .*code=2001 name=busy")
+local busy = wait_explained("the refusal", r.id, "refused req=" .. r.id .. " .*code=2001 name=busy")
 fleet.expect("both targets refused: " .. busy, select(2, busy:gsub("retried", "")) == 2)
 for _, name in ipairs{"portal-1", "portal-2"} do g[name]:fault("refuse=0") end
 
@@ -56,8 +56,8 @@
 g:wait_in_force(g:publish(g:config(function(s) table.remove(s.routes, 3) end)))
 r = g:ask{path = "/once/a"}
 fleet.equal("no route", r.status, 404)
-local gone = explains("the missing route", r.id, "refused req=" .. r.id .. " .*code=1012 name=no%-route")
-fleet.expect("the configuration in force: " .. gone, gone:find("configuration version=2"))
+local missing = wait_explained("the missing route", r.id, "refused req=" .. r.id .. " .*code=1012 name=no%-route")
+fleet.expect("the configuration in force: " .. missing, missing:find("configuration version=2"))
 
 -- Every failure of a run with several faults.
 local failed = {}
@@ -70,7 +70,7 @@
 end
 fleet.expect("some failed", #failed > 0)
 for _, id in ipairs(failed) do
-  explains("request " .. id, id, "\n?[^\n]*%* [^\n]*req=" .. id)
+  wait_explained("request " .. id, id, "\n?[^\n]*%* [^\n]*req=" .. id)
   local text = trace(id)
   fleet.expect("the trace names a cause: " .. text, text:find("why=") or text:find("status=500"))
 end
--- a/tests/scenarios/33_gateway_early.lua
+++ b/tests/scenarios/33_gateway_early.lua
@@ -21,15 +21,15 @@
 fleet.eventually("all wait", function() return awaiting() == EARLY end)
 
 -- A request waits at most a third of its deadline.
-local hasty = g:ask{path = "/once/a", body = "x", deadline = 300}
-fleet.equal("a request with a short deadline is refused", hasty.status, 503)
-fleet.expect("its Retry-After is set", tonumber(hasty["Retry-After"]) > 0)
+local short = g:ask{path = "/once/a", body = "x", deadline = 300}
+fleet.equal("a request with a short deadline is refused", short.status, 503)
+fleet.expect("its Retry-After is set", tonumber(short["Retry-After"]) > 0)
 
 -- A caller that disconnects waits no longer.
-local leaver = run.raw_open(gateway.http)
-run.raw_send(leaver, "GET /safe/a HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: leaver\r\nApi-Key: kett-key\r\n\r\n")
+local leaving = run.raw_open(gateway.http)
+run.raw_send(leaving, "GET /safe/a HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: leaver\r\nApi-Key: kett-key\r\n\r\n")
 fleet.eventually("the request of the caller that will leave waits", function() return awaiting() == EARLY + 1 end)
-run.raw_close(leaver)
+run.raw_close(leaving)
 fleet.eventually("it no longer waits", function() return awaiting() == EARLY end)
 
 for _, c in ipairs(g.control) do c:continue() end
--- a/tests/scenarios/57_observers.lua
+++ b/tests/scenarios/57_observers.lua
@@ -5,7 +5,7 @@
 -- A group has nine members at most. Of ten control instances the tenth received the heartbeats of a tenth of
 -- the targets and forwarded nothing: a target reported there that it was leaving, was acknowledged, and got
 -- requests for seconds more. In the logs ten instances wrote `target-joined` for 593 of 661 targets, the
--- tenth alone for 41; the line `inst=core-klv-a-1 ev=target-leaving target=i-b846bf3b02` stood there and at
+-- tenth alone for 41; the line `inst=core-klv-a-1 ev=target-leaving target=i-b846bf3b02` was logged there and at
 -- no other instance or gateway.
 local fleet = require("fleet")
 local gateways = require("gateways")
--- a/tests/scenarios/fleet.lua
+++ b/tests/scenarios/fleet.lua
@@ -375,7 +375,7 @@
   return table.concat(out)
 end
 
--- Runs the command line; gives its output and exit code.
+-- Runs the operators' command line against the control instances; returns its output and exit code.
 function fleet:peatwell(args, server)
   local servers = {}
   for _, c in ipairs(self.control) do servers[#servers + 1] = c.health end
@@ -439,8 +439,8 @@
   return '"' .. s:gsub('[%c"\\]', function(c) return string.format("\\u%04x", c:byte()) end) .. '"'
 end
 
--- A chat request. o: entry, chat, text, history (earlier texts), stream, key,
--- max_tokens, headers.
+-- Builds a chat request. Fields of o: entry, chat, text, history (earlier texts), stream, key, max_tokens,
+-- model, headers, and the fields of run.http.
 function fleet:chat(o)
   local parts = {}
   for _, t in ipairs(o.history or {}) do
@@ -490,6 +490,7 @@
   end
 end
 
+-- Sends a chat request and returns its answer.
 function fleet:ask(o) return run.http(self:chat(o)) end
 
 -- Builds a request to the service "portal".
@@ -501,6 +502,7 @@
     body = o.body, timeout = o.timeout or 30}
 end
 
+-- Sends a call to the service that may run only once; o.once is its idempotency key.
 function fleet:once(o)
   o.headers = {["Peatwell-Repeat"] = "never", ["Idempotency-Key"] = o.once}
   return run.http(self:call(o))
