--- a/bench/bench_ledger.c
+++ b/bench/bench_ledger.c
@@ -121,7 +121,7 @@
   printf("| once-ledger | figure |\n| --- | --- |\n");
   printf("| claims, of them with their answer | %zu, %zu |\n",
          pwonce_count(pwstate_once(s)),
-         pwonce_count(pwstate_once(s)) - pwonce_past(pwstate_once(s)));
+         pwonce_count(pwstate_once(s)) - pwonce_past_count(pwstate_once(s)));
   printf("| a claim and its record applied | %.1f us |\n",
          ms * 1000 / PW_ONCE_MAX);
   printf("| memory of the ledger | %.0f MB |\n", resident_mb() - before);
--- a/bench/bench_overload.c
+++ b/bench/bench_overload.c
@@ -7,8 +7,8 @@
 ** LRU eviction. Callers retry once. The same seed gives the same output; no clock is read. */
 #include "pwbuf.h"
 #include "pwpick.h"
-#include "pwplaces.h"
 #include "pwshare.h"
+#include "pwshed.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -131,7 +131,7 @@
 } engine;
 
 typedef struct gateway {
-  pw_places shed;
+  pw_shed shed;
   pw_share share;
   double others_rate; /* requests per second at the others, as last reported */
   double callers;     /* cumulated over the gateways up to this one */
@@ -377,15 +377,15 @@
 static int uses_its_share(world *w, const gateway *g, double kept) {
   double mine = pwshare_rate(&g->share, w->now);
   double slots =
-      pwshare_places(mine, mine + g->others_rate, w->s->targets * w->s->slots,
-                     g->own + g->others_total, kept);
+      pwshare_slots(mine, mine + g->others_rate, w->s->targets * w->s->slots,
+                    g->own + g->others_total, kept);
   return g->own + random_unit(w) > slots;
 }
 
 static int try_dispatch(world *w, gateway *g, job *j) {
   int urgency = w->s->kinds[j->kind].urgency;
   double reserve =
-      uses_classes(w) ? pwplaces_reserve(&g->shed, urgency, is_last(w, j)) : 0;
+      uses_classes(w) ? pwshed_reserve(&g->shed, urgency, is_last(w, j)) : 0;
   if (w->pol == CHOSEN && uses_its_share(w, g, reserve))
     return 0;
   int target = pick(w, g, j, w->pol == CHOSEN ? 0 : reserve);
@@ -403,18 +403,18 @@
   gateway *g = &w->gateway[j->gateway];
   int urgency = w->s->kinds[j->kind].urgency;
   j->tries++;
-  pwshare_asked(&g->share, w->now);
+  pwshare_note(&g->share, w->now);
   if (w->pol == RANDOM && random_unit(w) < 2 * (fullness(w, g) - 0.5)) {
     refused(w, j, 100 + (int)(700 * random_unit(w)));
     return;
   }
   int dispatched = try_dispatch(w, g, j);
   if (uses_classes(w))
-    pwplaces_asked(&g->shed, urgency, is_last(w, j), dispatched, w->now);
+    pwshed_note(&g->shed, urgency, is_last(w, j), dispatched, w->now);
   if (dispatched)
     return;
-  int retry = uses_classes(w) ? (int)pwplaces_retry(j->deadline_at - w->now, 0,
-                                                    random_unit(w))
+  int retry = uses_classes(w) ? (int)pwshed_retry_ms(j->deadline_at - w->now, 0,
+                                                     random_unit(w))
                               : 100 + (int)(700 * random_unit(w));
   refused(w, j, retry);
 }
@@ -532,7 +532,7 @@
   for (int g = 0; g < w->ngateways; g++) {
     callers += w->s->callers > 0 ? draw_callers(w) + 0.1 : 1;
     w->gateway[g].callers = callers;
-    pwplaces_init(&w->gateway[g].shed, 0);
+    pwshed_init(&w->gateway[g].shed, 0);
   }
 }
 
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -238,13 +238,13 @@
     list[n].at = now;
     chat_name(c->chat, list[n++].chat);
   }
-  pw_cache_news update = {.epoch = 1,
-                          .newest = e->events->newest,
-                          .is_picture = 1,
-                          .at = now,
-                          .event = list,
-                          .n = n};
-  pwcache_news(&e->known, &update);
+  pw_cache_update update = {.epoch = 1,
+                            .newest = e->events->newest,
+                            .is_snapshot = 1,
+                            .at = now,
+                            .event = list,
+                            .n = n};
+  pwcache_update(&e->known, &update);
   e->events->n = 0;
   free(list);
 }
@@ -264,11 +264,11 @@
   if (!n)
     return;
   size_t skip = unit(w) < EVENTS_LOST;
-  pw_cache_news update = {.epoch = 1,
-                          .newest = l->e[n - 1].number,
-                          .event = l->e + skip,
-                          .n = n - skip};
-  int complete = pwcache_news(&e->known, &update);
+  pw_cache_update update = {.epoch = 1,
+                            .newest = l->e[n - 1].number,
+                            .event = l->e + skip,
+                            .n = n - skip};
+  int complete = pwcache_update(&e->known, &update);
   l->n -= n;
   memmove(l->e, l->e + n, sizeof *l->e * l->n);
   if (!complete)
@@ -311,7 +311,7 @@
   chat_name(j->chat, name);
   if (is_peatwell(w)) {
     double more = PWBOUND_PROMPT_WEIGHT * (j->expected - j->cached);
-    pwcache_seen(&e->known, name, (uint32_t)j->prompt, (uint32_t)j->cached,
+    pwcache_note(&e->known, name, (uint32_t)j->prompt, (uint32_t)j->cached,
                  (uint32_t)j->expected, w->now);
     if (more > 0) { /* the answer's head reports more to compute */
       pwload_add(&e->admit.load, more, w->now);
@@ -446,14 +446,15 @@
   if (pick->need_prefix && !known) {
     if (!j->walk.pointer && pwchat_get(e->pointers, name, where, NULL, w->now))
       j->walk.pointer = w->e[atoi(where)].id;
-    pwroute_refused(&j->walk, e->id, PW_REFUSED_MISSED, 0, 0);
+    pwroute_refused(&j->walk, e->id, PW_REFUSED_PREFIX_MISS, 0, 0);
     return 0;
   }
   if ((int)known > j->prompt)
     known = (uint32_t)j->prompt;
   j->expected = (int)known;
   j->from = j->holder;
-  if (known || !j->offered || !pwmove_takes(&e->move, (uint32_t)j->offered))
+  if (known || !j->offered ||
+      !pwmove_should_import(&e->move, (uint32_t)j->offered))
     j->from = NULL;
   double compute = j->prompt - (double)known;
   if (j->from)
@@ -461,18 +462,18 @@
   j->cost = PWBOUND_PROMPT_WEIGHT * compute + j->output;
   char ws[24];
   snprintf(ws, sizeof ws, "w%d", j->workspace);
-  pw_admit_ask ask = {.workspace = ws,
-                      .weight = 1,
-                      .priority = 4,
-                      .cost = j->cost,
-                      .recompute = known * pwmove_share(&e->move),
-                      .deadline = j->arrived + DEADLINE_MS,
-                      .may_queue = pick->may_queue,
-                      .job = j};
-  pw_admit_answer a = pwadmit_ask(&e->admit, &ask, &e->view, w->now);
-  if (a.pushed_out) {
+  pw_admit_request ask = {.workspace = ws,
+                          .weight = 1,
+                          .priority = 4,
+                          .cost = j->cost,
+                          .recompute = known * pwmove_share(&e->move),
+                          .deadline = j->arrived + DEADLINE_MS,
+                          .may_queue = pick->may_queue,
+                          .job = j};
+  pw_admit_answer a = pwadmit_decide(&e->admit, &ask, &e->view, w->now);
+  if (a.evicted_job) {
     w->r.refused++;
-    free(a.pushed_out);
+    free(a.evicted_job);
   }
   if (a.verdict == PW_ADMIT_REFUSED) {
     if (known && w->p >= P_MOVES) {
@@ -548,7 +549,7 @@
     mean += w->e[i].up ? w->e[i].load : 0;
   }
   mean /= up;
-  for (int rank = 0; rank < PW_RANKS; rank++) {
+  for (int rank = 0; rank < PW_PLACEMENT_RANKS; rank++) {
     engine *e = by_id(w, pwplace_rank(w->place, key, rank));
     if (!e || !e->up)
       continue;
--- a/packages/agent/pwag.h
+++ b/packages/agent/pwag.h
@@ -6,14 +6,14 @@
 #include "pwadmit.h"
 #include "pwbuf.h"
 #include "pwcache.h"
-#include "pwcarry.h"
 #include "pwchat.h"
+#include "pwdesired.h"
+#include "pwdetached.h"
 #include "pwjob.h"
 #include "pwkvfeed.h"
 #include "pwmove.h"
 #include "pwreject.h"
 #include "pwsub.h"
-#include "pwunheard.h"
 #include "pwview.h"
 
 #include <uthash.h>
@@ -48,12 +48,12 @@
   pw_move move;       /* estimated costs of computing and moving prefixes */
   pw_chats *pointers; /* targets that now hold chats which belong here */
   pw_ag_job *jobs;
-  pw_unheard *unheard;
+  pw_detached *detached;
   pw_seen *seen;
-  pw_carry carry;           /* desired state of the target */
+  pw_desired desired;       /* desired state of the target */
   int64_t state_changed_at; /* when the target's state was last found changed */
   pw_policy policy;
-  int64_t applied_at; /* last pwcarry_act */
+  int64_t applied_at; /* last pwdesired_apply */
   int64_t stop_at;    /* when stopping began; 0: not stopping */
 } pw_agent;
 
--- a/packages/agent/pwagent.c
+++ b/packages/agent/pwagent.c
@@ -10,7 +10,7 @@
 
 #define TICK_MS 10
 #define IDLE_TICK_MS 50    /* without jobs; a message ends the wait at once */
-#define APPLY_MS 50        /* between calls of pwcarry_act */
+#define APPLY_MS 50        /* between calls of pwdesired_apply */
 #define SPARE_WORKERS 2    /* besides one a slot, for cancels */
 #define PEER_LOST_MS 10000 /* a silent entry counts as lost after this time */
 
@@ -21,7 +21,7 @@
   pw_ag_job *h, *tmp;
   HASH_ITER(hh, a->jobs, h, tmp) {
     pw_job *j = h->job;
-    if (!j->started && !pwcarry_pool(&a->carry, j->run->pool) &&
+    if (!j->started && !pwdesired_pool(&a->desired, j->run->pool) &&
         pwqueue_remove(a->admit.queue, j))
       pwag_refuse_queued(a, j, PW_E_NO_TARGET, now);
   }
@@ -29,7 +29,7 @@
 
 static void resources_changed(pw_agent *a, int64_t now) {
   const pw_res *r = pwsub_resources(a->sub);
-  if (pwcarry_update(&a->carry, r))
+  if (pwdesired_update(&a->desired, r))
     pwcache_restarted(&a->cache); /* a cache belongs to one version */
   refuse_removed_pools(a, now);
   pwview_read_policy(r, &a->policy);
@@ -46,7 +46,7 @@
     if (e->body_case == PW__ENVELOPE__BODY_WELCOME) {
       if (pwsub_welcome(a->sub, &from, e, now))
         resources_changed(a, now);
-      pwcarry_sums(&a->carry, e->welcome);
+      pwdesired_set_sums(&a->desired, e->welcome);
     }
     pw__envelope__free_unpacked(e, NULL);
   }
@@ -55,7 +55,7 @@
 /* --- periodic work --- */
 
 static void send_hello(pw_agent *a, int64_t now) {
-  if (!pwsub_due(a->sub, now))
+  if (!pwsub_hello_due(a->sub, now))
     return;
   Pw__Load load;
   pwag_fill_load(a, &load, now);
@@ -71,11 +71,11 @@
   h.stopping = atomic_load(&a->p->stopping) != 0;
   Pw__TargetState state;
   Pw__TargetState *states[1] = {&state};
-  int has_changed = pwcarry_has_news(&a->carry);
+  int has_changed = pwdesired_state_changed(&a->desired);
   a->state_changed_at = has_changed ? now : a->state_changed_at;
-  int send_state = a->state_changed_at >= pwsub_told_at(a->sub);
+  int send_state = a->state_changed_at >= pwsub_confirmed_at(a->sub);
   if (send_state) {
-    pwcarry_state(&a->carry, &state);
+    pwdesired_take_state(&a->desired, &state);
     h.states = states;
     h.n_states = 1;
   }
@@ -87,7 +87,7 @@
 static int is_busy(void *arg, const char *model) {
   const pw_agent *a = arg;
   for (const pw_ag_job *h = a->jobs; h; h = h->hh.next)
-    if (pwcarry_is_of(h->job->run->pool, model))
+    if (pwdesired_is_pool_of(h->job->run->pool, model))
       return 1;
   return 0;
 }
@@ -98,11 +98,11 @@
   if (now - a->applied_at < APPLY_MS)
     return;
   a->applied_at = now;
-  int64_t touch = pwsub_touch_age(a->sub, now);
+  int64_t touch = pwsub_contact_age(a->sub, now);
   int64_t left = touch < 0 ? 0 : a->p->set->agent_stale - touch;
-  pwcarry_act(&a->carry, is_busy, a, now + left);
-  if (pwcarry_has_news(&a->carry))
-    pwsub_hurry(a->sub);
+  pwdesired_apply(&a->desired, is_busy, a, now + left);
+  if (pwdesired_state_changed(&a->desired))
+    pwsub_hello_now(a->sub);
 }
 
 /* Ends queued jobs whose deadline has passed, and jobs whose entry is lost while
@@ -121,15 +121,15 @@
 
 /* Takes in cache events. When events are missing, a snapshot is requested. */
 static void read_cache_events(pw_agent *a) {
-  pw_cache_news update;
+  pw_cache_update update;
   if (!pwkvfeed_take(a->kvfeed, &update))
     return;
-  int is_complete = pwcache_news(&a->cache, &update);
+  int is_complete = pwcache_update(&a->cache, &update);
   pwcount_add(a->p->counters, PWC_CACHE_EVENTS, (int64_t)update.n);
   if (!is_complete)
     pwcount_add(a->p->counters, PWC_CACHE_GAPS, 1);
   pwkvfeed_clear(&update);
-  pwkvfeed_go_on(a->kvfeed, a->cache.seen, !is_complete);
+  pwkvfeed_resume(a->kvfeed, a->cache.seen, !is_complete);
 }
 
 static void tick(pw_agent *a, int64_t now) {
@@ -158,7 +158,7 @@
     return 0;
   if (!a->stop_at) {
     a->stop_at = now;
-    pwsub_hurry(a->sub);
+    pwsub_hello_now(a->sub);
     pwevent_add(a->p->events, PWE_STOPPING, 0, NULL, NULL,
                 a->p->set->agent_target, "jobs=%d", (int)HASH_COUNT(a->jobs));
     pwlog(LOG_NOTICE, "stopping", "jobs=%d", (int)HASH_COUNT(a->jobs));
@@ -215,7 +215,7 @@
   int64_t now = pwclock_ms();
   a->dialler = pwwire_dialler(a->p->wire);
   a->mail = pwmail_new();
-  a->unheard = pwunheard_new();
+  a->detached = pwdetached_new();
   a->sub = pwsub_new(a->p, a->dialler, &set->agent_upstream, 0,
                      set->agent_stale, set->agent_when_cut_off);
   a->workers = pwjob_workers(a->mail, set->agent_url,
@@ -227,7 +227,7 @@
       pwkvfeed_start(set->agent_url, is_engine ? set->agent_cache_events : 0);
   pwadmit_init(&a->admit, (int)set->agent_slots, (int)set->agent_queue,
                (double)set->agent_decode_rate, now);
-  pwcarry_init(&a->carry, a->p);
+  pwdesired_init(&a->desired, a->p);
   pwcache_init(&a->cache);
   pwmove_init(&a->move, !strcmp(set->agent_kv_cache, "moves"));
   a->pointers = pwchat_new(PW_POINTERS_MAX, PW_POINTER_KEEP_MS);
@@ -259,7 +259,7 @@
     HASH_DEL(a->seen, s);
     free(s);
   }
-  pwunheard_free(a->unheard);
+  pwdetached_free(a->detached);
   pwadmit_free(&a->admit);
   pwcache_free(&a->cache);
   pwchat_free(a->pointers);
@@ -280,7 +280,7 @@
   }
   if (end_jobs(&a) == 0)
     pwmail_free(a.mail);
-  pwcarry_end(&a.carry); /* a blocked thread ends with the process */
+  pwdesired_stop(&a.desired); /* a blocked thread ends with the process */
   pwkvfeed_stop(a.kvfeed);
   pwserve_stop(a.http);
   free_parts(&a);
--- a/packages/agent/pwagrun.c
+++ b/packages/agent/pwagrun.c
@@ -8,7 +8,7 @@
 /* --- messages to entries --- */
 
 int pwag_is_leaving(const pw_agent *a) {
-  return a->carry.drain || atomic_load(&a->p->stopping);
+  return a->desired.drain || atomic_load(&a->p->stopping);
 }
 
 void pwag_fill_load(pw_agent *a, Pw__Load *l, int64_t now) {
@@ -67,7 +67,7 @@
   const pw_agent *a = arg;
   const pw_job *j = job;
   static const pw_pool_sum alone = {.targets = 1}; /* the pool was removed */
-  const pw_pool_sum *sum = pwcarry_pool(&a->carry, j->run->pool);
+  const pw_pool_sum *sum = pwdesired_pool(&a->desired, j->run->pool);
   return sum ? sum : &alone;
 }
 
@@ -148,7 +148,7 @@
     return PW_E_LEAVING;
   if (!pwsub_may_serve(a->sub, now))
     return PW_E_NOT_READY;
-  if (!a->carry.known || !pwcarry_pool(&a->carry, run->pool))
+  if (!a->desired.known || !pwdesired_pool(&a->desired, run->pool))
     return PW_E_NO_TARGET;
   return PW_OK;
 }
@@ -166,7 +166,7 @@
     cached = run->prompt_tokens;
   double prompt = run->prompt_tokens - cached;
   j->import = !cached && run->kv_tokens <= run->prompt_tokens &&
-              pwmove_takes(&a->move, run->kv_tokens);
+              pwmove_should_import(&a->move, run->kv_tokens);
   if (j->import)
     prompt -= run->kv_tokens * (1 - share);
   j->cost = PWBOUND_PROMPT_WEIGHT * prompt + run->output_tokens;
@@ -191,7 +191,7 @@
 ** bypasses the queue, since its tokens are in progress at the engine already. */
 static void resume(pw_agent *a, pw_job *j, int64_t now) {
   pw_ag_job *h, *tmp;
-  pwunheard_forget(a->unheard, j->origin);
+  pwdetached_remove(a->detached, j->origin);
   HASH_ITER(hh, a->jobs, h, tmp) {
     if (!strcmp(h->job->origin, j->origin) && h->job != j) {
       pwjob_cancel(h->job);
@@ -217,17 +217,18 @@
     resume(a, j, now);
     return;
   }
-  pw_admit_ask ask = {.workspace = run->workspace,
-                      .weight = run->weight,
-                      .priority = run->priority,
-                      .cost = j->cost,
-                      .recompute = recompute,
-                      .deadline = j->deadline,
-                      .age_ms = now - (run->start_by - (int64_t)run->deadline),
-                      .may_queue = run->may_queue,
-                      .job = j};
-  pw_admit_answer ans =
-      pwadmit_ask(&a->admit, &ask, pwcarry_pool(&a->carry, run->pool), now);
+  pw_admit_request ask = {.workspace = run->workspace,
+                          .weight = run->weight,
+                          .priority = run->priority,
+                          .cost = j->cost,
+                          .recompute = recompute,
+                          .deadline = j->deadline,
+                          .age_ms =
+                              now - (run->start_by - (int64_t)run->deadline),
+                          .may_queue = run->may_queue,
+                          .job = j};
+  pw_admit_answer ans = pwadmit_decide(
+      &a->admit, &ask, pwdesired_pool(&a->desired, run->pool), now);
   if (ans.by_bound)
     pwcount_add(a->p->counters, PWC_BOUND, 1);
   if (ans.verdict == PW_ADMIT_REFUSED) {
@@ -244,8 +245,8 @@
     run_now(a, j, now);
   else
     pwcount_add(a->p->counters, PWC_QUEUED, 1);
-  if (ans.pushed_out)
-    pwag_refuse_queued(a, ans.pushed_out, PW_E_BUSY, now);
+  if (ans.evicted_job)
+    pwag_refuse_queued(a, ans.evicted_job, PW_E_BUSY, now);
 }
 
 /* Handles a Run. One that becomes a job is taken out of the envelope. */
@@ -318,7 +319,7 @@
     case PW__ENVELOPE__BODY_PING:
       send_pong(a, &from, now);
       for (pw_ag_job *x = a->jobs; x; x = x->hh.next)
-        if (pwwire_same(&x->job->peer, &from))
+        if (pwwire_same_peer(&x->job->peer, &from))
           x->heard = now;
       break;
     default:
--- a/packages/agent/pwagwork.c
+++ b/packages/agent/pwagwork.c
@@ -16,12 +16,12 @@
   }
   h->cancelled = 1;
   pwjob_cancel(j);
-  pwunheard_put(a->unheard, j->origin, now);
+  pwdetached_add(a->detached, j->origin, now);
 }
 
 void pwag_expire_detached(pw_agent *a, int64_t now) {
   char origin[PW_NAME_MAX];
-  while (pwunheard_expired(a->unheard, now, origin))
+  while (pwdetached_take_expired(a->detached, now, origin))
     pwjob_cancel_at_target(a->workers, origin);
 }
 
@@ -64,7 +64,7 @@
     update_costs(a, j, now);
     if (j->cached < j->expected / 2)
       pwcount_add(a->p->counters, PWC_CACHE_WRONG, 1);
-    pwcache_seen(&a->cache, j->run->chat, tokens, j->cached, j->expected, now);
+    pwcache_note(&a->cache, j->run->chat, tokens, j->cached, j->expected, now);
     pwchat_forget(a->pointers, j->run->chat);
   }
   Pw__Load load;
--- a/packages/agent/pwcarry.c
+++ b/packages/agent/pwdesired.c
@@ -1,56 +1,56 @@
-/* pwcarry.c: the desired state of an agent's target. */
-#include "pwcarry.h"
+/* pwdesired.c: the desired state of an agent's target. */
+#include "pwdesired.h"
 
 #include "pwbuf.h"
 
 #include <string.h>
 
-void pwcarry_init(pw_carry *c, pw_proc *p) {
-  *c = (pw_carry){.p = p};
+void pwdesired_init(pw_desired *c, pw_proc *p) {
+  *c = (pw_desired){.p = p};
   c->order = pworder_start(p, p->set->agent_url);
 }
 
-int pwcarry_end(pw_carry *c) {
+int pwdesired_stop(pw_desired *c) {
   return pworder_stop(c->order);
 }
 
-static pw_carry_pool *find_pool(const pw_carry *c, const char *name) {
+static pw_desired_pool *find_pool(const pw_desired *c, const char *name) {
   for (int i = 0; i < c->npools; i++)
     if (!strcmp(c->pool[i].name, name))
-      return (pw_carry_pool *)&c->pool[i];
+      return (pw_desired_pool *)&c->pool[i];
   return NULL;
 }
 
-const pw_pool_sum *pwcarry_pool(const pw_carry *c, const char *name) {
-  const pw_carry_pool *p = find_pool(c, name);
+const pw_pool_sum *pwdesired_pool(const pw_desired *c, const char *name) {
+  const pw_desired_pool *p = find_pool(c, name);
   return p ? &p->sum : NULL;
 }
 
-int pwcarry_is_of(const char *pool, const char *model) {
+int pwdesired_is_pool_of(const char *pool, const char *model) {
   size_t n = strlen(model);
   return !strncmp(pool, model, n) && (!pool[n] || pool[n] == '@');
 }
 
 /* The pools being read, and the earlier ones with their load sums. */
 typedef struct reading {
-  const pw_carry *before;
-  pw_carry *c;
+  const pw_desired *before;
+  pw_desired *c;
 } reading;
 
 static void add_pool(void *arg, const char *name) {
   const reading *rd = arg;
-  if (find_pool(rd->c, name) || rd->c->npools == PWCARRY_POOLS)
+  if (find_pool(rd->c, name) || rd->c->npools == PWDESIRED_POOLS)
     return;
-  const pw_carry_pool *old = find_pool(rd->before, name);
-  pw_carry_pool *p = &rd->c->pool[rd->c->npools++];
-  *p = old ? *old : (pw_carry_pool){.sum = {.targets = 1}};
+  const pw_desired_pool *old = find_pool(rd->before, name);
+  pw_desired_pool *p = &rd->c->pool[rd->c->npools++];
+  *p = old ? *old : (pw_desired_pool){.sum = {.targets = 1}};
   pw_copy(p->name, sizeof p->name, name);
 }
 
-int pwcarry_update(pw_carry *c, const pw_res *r) {
+int pwdesired_update(pw_desired *c, const pw_res *r) {
   const char *target = c->p->set->agent_target;
   const pw_resource *one = pwres_get(r, "target", target);
-  const pw_carry before = *c;
+  const pw_desired before = *c;
   reading rd = {&before, c};
   json_t *spec = one ? json_loads(one->spec, 0, NULL) : NULL;
   c->known = one != NULL;
@@ -60,8 +60,8 @@
                 c->drain);
   pwassign_read(r, target, &c->assignment);
   c->npools = 0;
-  pwassign_pools(&c->assignment, json_object_get(spec, "models"), add_pool,
-                 &rd);
+  pwassign_each_pool(&c->assignment, json_object_get(spec, "models"), add_pool,
+                     &rd);
   size_t i;
   const json_t *service;
   json_array_foreach(json_object_get(spec, "services"), i, service) {
@@ -77,9 +77,9 @@
 }
 
 /* The sums are dated back to the Hello that they answer. */
-void pwcarry_sums(pw_carry *c, const Pw__Welcome *w) {
+void pwdesired_set_sums(pw_desired *c, const Pw__Welcome *w) {
   for (size_t i = 0; i < w->n_pools; i++) {
-    pw_carry_pool *p = find_pool(c, w->pools[i]->pool);
+    pw_desired_pool *p = find_pool(c, w->pools[i]->pool);
     if (!p)
       continue;
     p->sum = (pw_pool_sum){.tokens = (double)w->pools[i]->tokens,
@@ -90,8 +90,9 @@
   }
 }
 
-void pwcarry_act(pw_carry *c, int (*is_busy)(void *arg, const char *model),
-                 void *arg, int64_t until) {
+void pwdesired_apply(pw_desired *c,
+                     int (*is_busy)(void *arg, const char *model), void *arg,
+                     int64_t until) {
   pw_order_want want;
   const pw_assignment *a = &c->assignment;
   memset(&want, 0, sizeof want);
@@ -103,14 +104,14 @@
     it->want = a->model[i];
     it->idle = !it->want.has_serve && !is_busy(arg, it->want.model);
   }
-  pworder_want(c->order, &want, until);
+  pworder_set_want(c->order, &want, until);
 }
 
-int pwcarry_has_news(pw_carry *c) {
+int pwdesired_state_changed(pw_desired *c) {
   return pworder_changes(c->order) != c->state_taken;
 }
 
-void pwcarry_state(pw_carry *c, Pw__TargetState *out) {
+void pwdesired_take_state(pw_desired *c, Pw__TargetState *out) {
   pw__target_state__init(out);
   out->target = c->p->set->agent_target;
   c->state_taken = pworder_changes(c->order);
--- a/packages/agent/pwunheard.c
+++ b/packages/agent/pwdetached.c
@@ -1,5 +1,5 @@
-/* pwunheard.c: streams whose entry could not be reached, oldest first. */
-#include "pwunheard.h"
+/* pwdetached.c: streams whose entry could not be reached, oldest first. */
+#include "pwdetached.h"
 
 #include "pwbuf.h"
 
@@ -12,20 +12,20 @@
   UT_hash_handle hh;
 } row;
 
-struct pw_unheard {
+struct pw_detached {
   row *rows;
 };
 
-pw_unheard *pwunheard_new(void) {
-  return pw_alloc(sizeof(pw_unheard));
+pw_detached *pwdetached_new(void) {
+  return pw_alloc(sizeof(pw_detached));
 }
 
-static void drop(pw_unheard *u, row *r) {
+static void drop(pw_detached *u, row *r) {
   HASH_DEL(u->rows, r);
   free(r);
 }
 
-void pwunheard_free(pw_unheard *u) {
+void pwdetached_free(pw_detached *u) {
   row *r, *tmp;
   HASH_ITER(hh, u->rows, r, tmp) {
     drop(u, r);
@@ -33,24 +33,25 @@
   free(u);
 }
 
-void pwunheard_forget(pw_unheard *u, const char *origin) {
+void pwdetached_remove(pw_detached *u, const char *origin) {
   row *r;
   HASH_FIND_STR(u->rows, origin, r);
   if (r)
     drop(u, r);
 }
 
-void pwunheard_put(pw_unheard *u, const char *origin, int64_t now) {
-  pwunheard_forget(u, origin);
+void pwdetached_add(pw_detached *u, const char *origin, int64_t now) {
+  pwdetached_remove(u, origin);
   row *r = pw_alloc(sizeof *r);
   pw_copy(r->origin, sizeof r->origin, origin);
   r->since = now;
   HASH_ADD_STR(u->rows, origin, r);
 }
 
-int pwunheard_expired(pw_unheard *u, int64_t now, char origin[PW_NAME_MAX]) {
+int pwdetached_take_expired(pw_detached *u, int64_t now,
+                            char origin[PW_NAME_MAX]) {
   row *oldest = u->rows;
-  if (!oldest || now - oldest->since < PWUNHEARD_MS)
+  if (!oldest || now - oldest->since < PWDETACHED_MS)
     return 0;
   pw_copy(origin, PW_NAME_MAX, oldest->origin);
   drop(u, oldest);
--- a/packages/agent/pwjob.c
+++ b/packages/agent/pwjob.c
@@ -135,7 +135,7 @@
 /* Waits until the flow control window has room. Returns -1 when cancelled. */
 static int wait_for_room(pw_job *j) {
   pthread_mutex_lock(&j->lock);
-  while (!j->cancelled && !j->orphan && j->sent - j->acked >= PW_WINDOW)
+  while (!j->cancelled && !j->orphan && j->sent - j->acked >= PW_STREAM_WINDOW)
     pthread_cond_wait(&j->changed, &j->lock);
   int rc = j->cancelled ? -1 : 0;
   pthread_mutex_unlock(&j->lock);
@@ -359,7 +359,7 @@
 
 int pwjob_is_blocked(pw_job *j) {
   pthread_mutex_lock(&j->lock);
-  int blocked = j->sent - j->acked >= PW_WINDOW;
+  int blocked = j->sent - j->acked >= PW_STREAM_WINDOW;
   pthread_mutex_unlock(&j->lock);
   return blocked;
 }
--- a/packages/agent/pwkvfeed.c
+++ b/packages/agent/pwkvfeed.c
@@ -22,14 +22,14 @@
   int64_t every;
   pw_thread thread;
   /* Protected by the thread's lock: */
-  pw_cache_news update;
+  pw_cache_update update;
   int has_update; /* `update` is not taken yet, or polling was not resumed since */
   int is_taken;  /* `update` was taken */
   uint64_t seen; /* number of the newest event known */
   int snapshot;  /* the next request is for a snapshot */
 };
 
-static void read_event(const json_t *one, int64_t asked, pw_cache_news *out) {
+static void read_event(const json_t *one, int64_t asked, pw_cache_update *out) {
   const char *key = pwjson_text(one, "key");
   double tokens = pwjson_number(one, "tokens", -1);
   double number = pwjson_number(one, "n", 0);
@@ -44,17 +44,17 @@
 }
 
 int pwkvfeed_read(const char *text, size_t len, int64_t asked,
-                  pw_cache_news *out) {
+                  pw_cache_update *out) {
   json_t *doc = json_loadb(text, len, 0, NULL);
   const json_t *events = json_object_get(doc, "events");
-  *out = (pw_cache_news){0};
+  *out = (pw_cache_update){0};
   if (!json_is_array(events)) {
     json_decref(doc);
     return -1;
   }
   out->epoch = (uint64_t)pwjson_number(doc, "epoch", 0);
   out->newest = (uint64_t)pwjson_number(doc, "newest", 0);
-  out->is_picture = json_is_true(json_object_get(doc, "all"));
+  out->is_snapshot = json_is_true(json_object_get(doc, "all"));
   out->at = asked - (int64_t)pwjson_number(doc, "age_ms", 0);
   out->event = pw_alloc(sizeof *out->event * (json_array_size(events) + 1));
   size_t i;
@@ -68,7 +68,7 @@
 
 /* Fetches the events after `seen`, or a snapshot. */
 static pw_code fetch_events(const pw_kvfeed *f, uint64_t seen, int snapshot,
-                            pw_cache_news *out) {
+                            pw_cache_update *out) {
   char path[96];
   pw_buf text = {0};
   int status = 0;
@@ -95,7 +95,7 @@
   pthread_mutex_unlock(&f->thread.lock);
   if (is_suspended)
     return f->every;
-  pw_cache_news update;
+  pw_cache_update update;
   pw_code rc = fetch_events(f, seen, snapshot, &update);
   if (rc != PW_OK)
     return rc == PW_E_PATH ? UNSUPPORTED_MS : RETRY_MS;
@@ -127,7 +127,7 @@
   return 0;
 }
 
-int pwkvfeed_take(pw_kvfeed *f, pw_cache_news *out) {
+int pwkvfeed_take(pw_kvfeed *f, pw_cache_update *out) {
   if (!f->every)
     return 0;
   pthread_mutex_lock(&f->thread.lock);
@@ -140,12 +140,12 @@
   return has;
 }
 
-void pwkvfeed_clear(pw_cache_news *update) {
+void pwkvfeed_clear(pw_cache_update *update) {
   free(update->event);
-  *update = (pw_cache_news){0};
+  *update = (pw_cache_update){0};
 }
 
-void pwkvfeed_go_on(pw_kvfeed *f, uint64_t seen, int snapshot) {
+void pwkvfeed_resume(pw_kvfeed *f, uint64_t seen, int snapshot) {
   pthread_mutex_lock(&f->thread.lock);
   int at_once = snapshot && !f->snapshot; /* else at the usual interval */
   f->seen = seen;
--- a/packages/agent/pwkvfeed.h
+++ b/packages/agent/pwkvfeed.h
@@ -15,16 +15,16 @@
 int pwkvfeed_stop(pw_kvfeed *f);
 
 /* Takes the fetched events, if there are any (returns 1); pwkvfeed_clear frees
-** them. Polling is suspended until pwkvfeed_go_on. */
-int pwkvfeed_take(pw_kvfeed *f, pw_cache_news *out);
-void pwkvfeed_clear(pw_cache_news *update);
+** them. Polling is suspended until pwkvfeed_resume. */
+int pwkvfeed_take(pw_kvfeed *f, pw_cache_update *out);
+void pwkvfeed_clear(pw_cache_update *update);
 
 /* Resumes polling for the events after number `seen`, or for a snapshot. */
-void pwkvfeed_go_on(pw_kvfeed *f, uint64_t seen, int snapshot);
+void pwkvfeed_resume(pw_kvfeed *f, uint64_t seen, int snapshot);
 
 /* Parses an answer to a request sent at `asked` (our clock, ms). Returns -1 when
 ** it is malformed; single malformed events are skipped. Pure. */
 int pwkvfeed_read(const char *text, size_t len, int64_t asked,
-                  pw_cache_news *out);
+                  pw_cache_update *out);
 
 #endif
--- a/packages/agent/pworder.c
+++ b/packages/agent/pworder.c
@@ -279,7 +279,7 @@
   return 0;
 }
 
-void pworder_want(pw_order *o, const pw_order_want *want, int64_t until) {
+void pworder_set_want(pw_order *o, const pw_order_want *want, int64_t until) {
   pthread_mutex_lock(&o->thread.lock);
   int wake = has_new_work(o, want);
   o->want = *want;
--- a/packages/agent/pworder.h
+++ b/packages/agent/pworder.h
@@ -35,7 +35,7 @@
 int pworder_stop(pw_order *o);
 
 /* Sets the desired state, and until when (own clock, ms) orders may be sent. */
-void pworder_want(pw_order *o, const pw_order_want *want, int64_t until);
+void pworder_set_want(pw_order *o, const pw_order_want *want, int64_t until);
 
 /* A counter that grows whenever the result of pworder_state changes. */
 uint64_t pworder_changes(pw_order *o);
--- a/packages/cli/peatwell.c
+++ b/packages/cli/peatwell.c
@@ -73,7 +73,7 @@
 }
 
 int pwcmd_keyhash(pw_options *o) {
-  char key[256], hash[2 * PWVIEW_HASH + 1];
+  char key[256], hash[2 * PWVIEW_HASH_BYTES + 1];
   (void)o;
   if (scanf("%255s", key) != 1)
     return pwcmd_error(PW_E_USAGE, "a key on standard input is needed")
--- a/packages/cli/pwbackup.c
+++ b/packages/cli/pwbackup.c
@@ -40,7 +40,7 @@
 static void drop_leader_only(json_t *list) {
   for (size_t i = json_array_size(list); i-- > 0;) {
     const json_t *r = json_array_get(list, i);
-    if (pwres_is_leaders(json_string_value(json_object_get(r, "kind"))))
+    if (pwres_is_leader_only(json_string_value(json_object_get(r, "kind"))))
       json_array_remove(list, i);
   }
 }
@@ -168,7 +168,7 @@
     printf("%zu resources restored at revision %lld\n", json_array_size(list),
            (long long)revision);
   if (rc == PW_OK && o->wait)
-    code = pwcmd_wait(o, revision);
+    code = pwcmd_wait_in_force(o, revision);
   json_decref(body);
   json_decref(answer);
   json_decref(doc);
--- a/packages/cli/pwcmd.c
+++ b/packages/cli/pwcmd.c
@@ -192,7 +192,7 @@
     code = send_changes(o, changes, &revision);
   }
   if (code == PWEXIT_OK && o->wait && !o->dry_run)
-    code = pwcmd_wait(o, revision);
+    code = pwcmd_wait_in_force(o, revision);
 done:
   json_decref(wanted);
   json_decref(current);
@@ -220,7 +220,7 @@
           now < revision ? pwjson_text(in_force, "behind") : "");
 }
 
-int pwcmd_wait(pw_options *o, json_int_t revision) {
+int pwcmd_wait_in_force(pw_options *o, json_int_t revision) {
   char message[MESSAGE] = "";
   char why[MESSAGE] = "no control leader answered";
   int64_t until = pwclock_ms() + o->client.timeout_ms;
@@ -316,7 +316,7 @@
   json_int_t revision = number(answer, "revision");
   json_decref(answer);
   if (code == PWEXIT_OK && o->wait)
-    code = pwcmd_wait(o, revision);
+    code = pwcmd_wait_in_force(o, revision);
   return code;
 }
 
@@ -492,7 +492,7 @@
   }
   json_decref(shown);
   if (settled > 0) /* the last step must be in force, too */
-    return pwcmd_wait(o, revision);
+    return pwcmd_wait_in_force(o, revision);
   return pwcmd_error(settled ? PW_E_ROLLED_BACK : PW_E_WAIT,
                      settled ? "" : "a rollout is still in progress");
 }
@@ -514,7 +514,7 @@
   json_decref(st);
   if (!o->wait)
     return PWEXIT_OK;
-  int code = pwcmd_wait(o, revision);
+  int code = pwcmd_wait_in_force(o, revision);
   return code == PWEXIT_OK ? wait_for_rollouts(o) : code;
 }
 
--- a/packages/cli/pwtime.c
+++ b/packages/cli/pwtimelinecmd.c
@@ -1,4 +1,4 @@
-/* pwtime.c: `peatwell timeline`: merges the events of all processes by their
+/* pwtimelinecmd.c: `peatwell timeline`: merges the events of all processes by their
 ** hybrid logical clock. */
 #include "pwcmd.h"
 
--- a/packages/consensus/pwcons.c
+++ b/packages/consensus/pwcons.c
@@ -279,12 +279,12 @@
   }
   r->must_sync = c->hard_dirty || r->nentries || r->install;
   r->early = c->early.m;
-  r->nearly = c->early.n;
+  r->n_early = c->early.n;
   r->late = c->late.m;
-  r->nlate = c->late.n;
+  r->n_late = c->late.n;
   c->ready_last = last;
   c->ready_term = pwconslog_term(&c->log, last);
-  return r->must_sync || r->nearly || r->nlate;
+  return r->must_sync || r->n_early || r->n_late;
 }
 
 void pwcons_early_sent(pw_cons *c) {
@@ -301,7 +301,7 @@
   pwci_advance_commit(c);
 }
 
-const Pw__Entry *pwcons_next(pw_cons *c) {
+const Pw__Entry *pwcons_next_committed(pw_cons *c) {
   if (c->applied >= c->commit)
     return NULL;
   const Pw__Entry *e = pwconslog_at(&c->log, c->applied + 1);
@@ -310,7 +310,7 @@
   return e;
 }
 
-void pwcons_shed(pw_cons *c) {
+void pwcons_free_snapshot_state(pw_cons *c) {
   ProtobufCBinaryData *state = &c->log.snapshot->state;
   free(state->data);
   *state = (ProtobufCBinaryData){0};
@@ -340,7 +340,7 @@
   return c->log.snapshot;
 }
 
-int pwcons_hand_over(pw_cons *c, int64_t now) {
+int pwcons_transfer_leadership(pw_cons *c, int64_t now) {
   if (now > c->now)
     c->now = now;
   if (c->role != PWCONS_LEADER)
@@ -361,7 +361,7 @@
   return 1;
 }
 
-int pwcons_lease(const pw_cons *c, int64_t now) {
+int pwcons_holds_lease(const pw_cons *c, int64_t now) {
   if (c->role != PWCONS_LEADER || c->commit < c->noop_index || c->transferring)
     return 0;
   if (PW_MUTATION == MUT_LEASE_FOREVER)
--- a/packages/consensus/pwcons.h
+++ b/packages/consensus/pwcons.h
@@ -84,9 +84,9 @@
   size_t nentries;
   const Pw__Snapshot *install; /* a snapshot that replaces the log, or NULL */
   Pw__Cons **early;
-  size_t nearly;
+  size_t n_early;
   Pw__Cons **late;
-  size_t nlate;
+  size_t n_late;
 } pw_cons_ready;
 
 typedef struct pw_cons pw_cons;
@@ -120,11 +120,11 @@
 void pwcons_advance(pw_cons *c);
 
 /* The next committed entry that this function has not returned yet, or NULL. */
-const Pw__Entry *pwcons_next(pw_cons *c);
+const Pw__Entry *pwcons_next_committed(pw_cons *c);
 
 /* Frees the state in the snapshot, which is large. Only allowed right before
 ** pwcons_compact with a newer state, so that memory never holds two. */
-void pwcons_shed(pw_cons *c);
+void pwcons_free_snapshot_state(pw_cons *c);
 
 /* Replaces the log up to `index`, which is past the snapshot's, by a snapshot
 ** with the state as of that index. Takes ownership of state. */
@@ -137,7 +137,7 @@
 const Pw__Snapshot *pwcons_snapshot(const pw_cons *c);
 
 /* Transfers leadership to the voter with the longest log; 0: none is suited. */
-int pwcons_hand_over(pw_cons *c, int64_t now);
+int pwcons_transfer_leadership(pw_cons *c, int64_t now);
 
 pw_cons_role pwcons_role(const pw_cons *c);
 uint64_t pwcons_term(const pw_cons *c);
@@ -148,7 +148,7 @@
 
 /* Whether this member leads, has committed an entry of its term, and holds a
 ** lease at `now`, during which no other member can become leader. */
-int pwcons_lease(const pw_cons *c, int64_t now);
+int pwcons_holds_lease(const pw_cons *c, int64_t now);
 
 /* Time since this member last heard from a leader, ms; 0 while it leads. */
 int64_t pwcons_silence(const pw_cons *c);
--- a/packages/consensus/pwmember.c
+++ b/packages/consensus/pwmember.c
@@ -24,7 +24,7 @@
   return -1;
 }
 
-int pwmember_seeks(const pw_cons *cons, uint64_t id, int64_t lease) {
+int pwmember_must_join(const pw_cons *cons, uint64_t id, int64_t lease) {
   const pw_cons_config *c = pwcons_config(cons);
   for (int i = 0; i < c->n; i++)
     if (c->m[i].id == id && c->m[i].voter)
--- a/packages/consensus/pwmember.h
+++ b/packages/consensus/pwmember.h
@@ -15,7 +15,7 @@
 /* Whether an instance must ask to join, possibly again. A learner may have been
 ** added by a leader that was deposed before that change was committed: it has a
 ** log or a configuration with its id, but no leader knows of it. */
-int pwmember_seeks(const pw_cons *cons, uint64_t id, int64_t lease);
+int pwmember_must_join(const pw_cons *cons, uint64_t id, int64_t lease);
 
 /* In a group of fixed size, a voter that has been silent for this long is
 ** replaced by a learner that has caught up, ms. It is longer than an election,
--- a/packages/control/pwapi.c
+++ b/packages/control/pwapi.c
@@ -19,7 +19,7 @@
 /* --- reading --- */
 
 static int is_operator(const char *operators, const char *key) {
-  char hash[2 * PWVIEW_HASH + 1];
+  char hash[2 * PWVIEW_HASH_BYTES + 1];
   if (!operators)
     return 1;
   if (!key[0])
@@ -113,7 +113,8 @@
   return ch;
 }
 
-Pw__Change *pwapi_one(const char *kind, const char *name, const char *spec) {
+Pw__Change *pwapi_single_put(const char *kind, const char *name,
+                             const char *spec) {
   Pw__Change *ch = pw_alloc(sizeof *ch);
   pw__change__init(ch);
   ch->resend = pw_dup("");
@@ -130,7 +131,7 @@
 
 static pw_code check_kinds(const Pw__Change *ch, char *message, size_t cap) {
   for (size_t i = 0; i < ch->n_puts; i++) {
-    if (!pwres_is_leaders(ch->puts[i]->kind))
+    if (!pwres_is_leader_only(ch->puts[i]->kind))
       continue;
     snprintf(message, cap, "kind: %s is written only by the control leader",
              ch->puts[i]->kind);
@@ -306,18 +307,18 @@
   pwmail_post(mail, &c->item);
 }
 
-void pwapi_leave(pw_api_call *c, pw_mail *mail) {
+void pwapi_post_detached(pw_api_call *c, pw_mail *mail) {
   c->refs = 1;
-  pwmail_leave(mail, &c->item);
+  pwmail_post_nowake(mail, &c->item);
 }
 
 void pwapi_respond(pw_api_call *c) {
   pthread_mutex_lock(&c->lock);
   pw_http *h = c->h;
   if (c->leader[0])
-    pwserve_add(h, "Peatwell-Leader", c->leader);
+    pwserve_add_header(h, "Peatwell-Leader", c->leader);
   if (c->location[0]) {
-    pwserve_add(h, "Location", c->location);
+    pwserve_add_header(h, "Location", c->location);
     pwserve_reply(h, c->status, "application/json", "{}", 2);
   } else if (c->text.data) {
     pwserve_reply(h, c->status, "application/json", c->text.data, c->text.len);
@@ -326,8 +327,8 @@
   } else if (c->answer) {
     char number[16];
     snprintf(number, sizeof number, "%d", (int)c->code);
-    pwserve_add(h, "Peatwell-Code", number);
-    pwserve_add(h, "Peatwell-Outcome", c->outcome);
+    pwserve_add_header(h, "Peatwell-Code", number);
+    pwserve_add_header(h, "Peatwell-Outcome", c->outcome);
     pwproc_json(h, pwcode_http(c->code), json_incref(c->answer));
   } else {
     pwproc_refuse(h, c->code, c->message, c->outcome, 0);
@@ -335,7 +336,7 @@
   pthread_mutex_unlock(&c->lock);
 }
 
-void pwapi_over(pw_api_call *c) {
+void pwapi_request_done(pw_api_call *c) {
   pthread_mutex_lock(&c->lock);
   c->h = NULL;
   pthread_mutex_unlock(&c->lock);
@@ -401,12 +402,12 @@
   return o;
 }
 
-json_t *pwapi_resource(const pw_resource *one) {
+json_t *pwapi_resource_json(const pw_resource *one) {
   return resource_json(one->kind, one->name, one->version, one->revision,
                        one->deleted, one->spec);
 }
 
-json_t *pwapi_packed(const Pw__Resource *one) {
+json_t *pwapi_packed_json(const Pw__Resource *one) {
   return resource_json(one->kind, one->name, one->version, one->revision,
                        one->deleted, one->spec);
 }
--- a/packages/control/pwapi.h
+++ b/packages/control/pwapi.h
@@ -22,7 +22,7 @@
   PW_API_BEAT,
   PW_API_LEAVE,
 
-  /* calls of the platform or of operators, see pwrollcall.h */
+  /* calls of the platform or of operators, see pwrolloutapi.h */
   PW_API_ROLLOUT,
   PW_API_ROLLOUT_READ
 } pw_api_op;
@@ -39,7 +39,7 @@
   Pw__Change *change; /* PW_API_CHANGE, PW_API_EVACUATE */
   pw_buf document;    /* PW_API_SITE_WRITE: a valid configuration document */
   uint64_t document_version;
-  pw_beat beat; /* PW_API_BEAT; for PW_API_LEAVE only the id */
+  pw_heartbeat beat; /* PW_API_BEAT; for PW_API_LEAVE only the id */
   /* PW_API_ROLLOUT; for PW_API_ROLLOUT_READ only the service */
   pw_rollout_order order;
   /* dialect of a call of the platform; NULL: a call of an operator */
@@ -73,10 +73,10 @@
 
 /* HTTP thread: passes a call that was answered already to the control
 ** thread. */
-void pwapi_leave(pw_api_call *c, pw_mail *mail);
+void pwapi_post_detached(pw_api_call *c, pw_mail *mail);
 
 /* HTTP thread: the HTTP request is over, answered or not; releases the call. */
-void pwapi_over(pw_api_call *c);
+void pwapi_request_done(pw_api_call *c);
 
 /* Control thread: answers with JSON (whose reference it takes) or with a
 ** code, and releases the call. */
@@ -95,10 +95,11 @@
 
 /* Makes a change of one resource, whatever its version: `spec` is written;
 ** NULL: the resource is deleted. */
-Pw__Change *pwapi_one(const char *kind, const char *name, const char *spec);
+Pw__Change *pwapi_single_put(const char *kind, const char *name,
+                             const char *spec);
 
 /* A resource as JSON; new reference. */
-json_t *pwapi_resource(const pw_resource *one);
-json_t *pwapi_packed(const Pw__Resource *one);
+json_t *pwapi_resource_json(const pw_resource *one);
+json_t *pwapi_packed_json(const Pw__Resource *one);
 
 #endif
--- a/packages/control/pwcanaries.c
+++ b/packages/control/pwcanaries.c
@@ -102,7 +102,7 @@
   free(c);
 }
 
-void pwcanaries_lead(pw_canaries *c, int64_t now) {
+void pwcanaries_start_leading(pw_canaries *c, int64_t now) {
   drop_running(c);
   c->is_proposed = 0;
   c->checked_at = now;
@@ -147,7 +147,7 @@
 ** concurrent writers the second is refused. */
 static Pw__Change *change_to(const spec *s) {
   char *text = write_spec(s);
-  Pw__Change *ch = pwapi_one(PW_KIND_SERVICE_ROLLOUT, s->service, text);
+  Pw__Change *ch = pwapi_single_put(PW_KIND_SERVICE_ROLLOUT, s->service, text);
   ch->puts[0]->any_version = 0;
   ch->puts[0]->version = s->resource_version;
   free(text);
@@ -207,7 +207,7 @@
 static int count_rollouts(const pw_res *res) {
   int n = 0;
   for (const pw_resource *one = pwres_first(res); one; one = one->next)
-    n += pwres_is(one, PW_KIND_SERVICE_ROLLOUT);
+    n += pwres_is_live(one, PW_KIND_SERVICE_ROLLOUT);
   return n;
 }
 
@@ -279,7 +279,7 @@
     *at = (double)value;
 }
 
-void pwcanaries_heard(pw_canaries *c, const Pw__Envelope *e) {
+void pwcanaries_report(pw_canaries *c, const Pw__Envelope *e) {
   const Pw__Watch *m = e->watch;
   for (size_t i = 0; i < m->n_answers; i++) {
     const Pw__Answers *a = m->answers[i];
@@ -334,12 +334,12 @@
   sum_reports(c, s, &sum);
   for (int i = 0; i < sum.nroutes; i++)
     route[i] = sum.route[i].sum;
-  pw_canary_ask ask = {.over_ms = s->over_ms,
-                       .elapsed_ms = elapsed(u, now),
-                       .in_share_ms = now - u->share_at,
-                       .expose_share = c->expose_share,
-                       .route = route,
-                       .nroutes = sum.nroutes};
+  pw_canary_input ask = {.over_ms = s->over_ms,
+                         .elapsed_ms = elapsed(u, now),
+                         .in_share_ms = now - u->share_at,
+                         .expose_share = c->expose_share,
+                         .route = route,
+                         .nroutes = sum.nroutes};
   pwwatch_slots(c->watch, s->service, s->version, &ask.slots_to,
                 &ask.slots_from);
   if (!pwcanary_next(&s->canary, &ask, &next))
@@ -358,7 +358,7 @@
   int n = 0;
   for (const pw_resource *one = pwres_first(c->res); one; one = one->next) {
     spec s;
-    if (!pwres_is(one, PW_KIND_SERVICE_ROLLOUT))
+    if (!pwres_is_live(one, PW_KIND_SERVICE_ROLLOUT))
       continue;
     read_spec(one, &s);
     if (s.canary.state != PWCANARY_RUNNING)
@@ -395,7 +395,7 @@
   json_t *list = json_array();
   for (const pw_resource *one = pwres_first(c->res); one; one = one->next) {
     spec s;
-    if (!pwres_is(one, PW_KIND_SERVICE_ROLLOUT))
+    if (!pwres_is_live(one, PW_KIND_SERVICE_ROLLOUT))
       continue;
     read_spec(one, &s);
     json_array_append_new(list, rollout_json(c, &s, now));
--- a/packages/control/pwcanaries.h
+++ b/packages/control/pwcanaries.h
@@ -23,10 +23,10 @@
 void pwcanaries_free(pw_canaries *c);
 
 /* Called when this instance begins to lead. */
-void pwcanaries_lead(pw_canaries *c, int64_t now);
+void pwcanaries_start_leading(pw_canaries *c, int64_t now);
 
 /* Takes the sums of answers that a gateway reports. */
-void pwcanaries_heard(pw_canaries *c, const Pw__Envelope *e);
+void pwcanaries_report(pw_canaries *c, const Pw__Envelope *e);
 
 /* Gives the change that an order asks for; NULL with PW_OK: this rollout is
 ** running or complete already, or the order is a repetition. PW_E_CONFLICT
--- a/packages/control/pwcontrol.c
+++ b/packages/control/pwcontrol.c
@@ -79,8 +79,8 @@
   c->leader_since = pwclock_ms();
   c->plan_index = 0;
   c->plan_is_rollout = 0;
-  pwplanner_lead(c->planner, c->leader_since);
-  pwcanaries_lead(c->canaries, c->leader_since);
+  pwplanner_start_leading(c->planner, c->leader_since);
+  pwcanaries_start_leading(c->canaries, c->leader_since);
   c->leader_since_revision = pwres_revision(pwctl_resources(c));
 }
 
@@ -100,7 +100,7 @@
       pwgroup_message(c->group, e, now);
       break;
     case PW__ENVELOPE__BODY_HELLO:
-      pwnews_hello(c->news, e, now);
+      pwtreereport_hello(c->treereport, e, now);
       fill_feed_state(c, &st, now);
       pwfeed_hello(c->feed, &from, e, &st, NULL, 0, now);
       break;
@@ -113,7 +113,7 @@
       pwreads_message(c->reads, sock, &from, e, now);
       break;
     case PW__ENVELOPE__BODY_WATCH:
-      pwcanaries_heard(c->canaries, e);
+      pwcanaries_report(c->canaries, e);
       pwwatch_message(c->watch, &from, e, now);
       break;
     case PW__ENVELOPE__BODY_NOTICE:
@@ -180,7 +180,7 @@
 
 static void on_child_left(void *arg, const pw_child *child) {
   pw_control *c = arg;
-  pwnews_child_left(c->news, child, pwclock_ms());
+  pwtreereport_child_left(c->treereport, child, pwclock_ms());
 }
 
 static void update_watchers(pw_control *c, int64_t now) {
@@ -191,7 +191,7 @@
   pwwatch_tick(c->watch, pwgroup_in_touch(c->group, now),
                pwgroup_is_leader(c->group), now);
   pwleave_work(c->leave, is_member, now);
-  atomic_store(&c->is_connected, pwwatch_is_heard(c->watch, now));
+  atomic_store(&c->is_connected, pwwatch_is_connected(c->watch, now));
 }
 
 /* Does everything that depends on how long a peer has been silent. */
@@ -228,18 +228,19 @@
   if (!pwgroup_is_leader(c->group))
     return now - c->stop_at > c->p->set->control_heartbeat * 2;
   /* A leader without other members cannot transfer its leadership. */
-  return !pwgroup_hand_over(c->group, now) && pwserve_active(c->http) == 0;
+  return !pwgroup_transfer_leadership(c->group, now) &&
+         pwserve_active(c->http) == 0;
 }
 
 /* Time in which this process was stalled, as by a disk that hangs, does not
 ** count as silence of its peers. */
 static void note_iteration(pw_control *c, int64_t now) {
-  int64_t stalled_ms = pwlag_turn(&c->lag, now);
+  int64_t stalled_ms = pwlag_iteration(&c->lag, now);
   atomic_store(&c->iteration_at, now);
   if (stalled_ms == 0)
     return;
-  pwwatch_excuse(c->watch, stalled_ms);
-  pwfeed_excuse(c->feed, stalled_ms);
+  pwwatch_discount_stall(c->watch, stalled_ms);
+  pwfeed_discount_stall(c->feed, stalled_ms);
 }
 
 static pw_code loop(pw_control *c) {
@@ -266,7 +267,7 @@
     }
     rc = pwgroup_work(c->group, now);
     push(c, pwclock_ms());
-    pwctl_answer_watchers(c, now);
+    pwctl_answer_long_polls(c, now);
   }
   if (rc != PW_OK)
     pwlog(LOG_CRIT, "store-failed", "code=%d", (int)rc);
@@ -285,7 +286,7 @@
 
 static void answer_early(pw_control *c, pw_http *h, pw_api_call *call) {
   pwserve_reply(h, 200, "application/json", "{}", 2);
-  pwapi_leave(call, c->mail);
+  pwapi_post_detached(call, c->mail);
 }
 
 static void respond(pw_control *c, pw_api_call *call) {
@@ -338,7 +339,7 @@
 static void on_http_done(void *arg, void *request, int whole) {
   (void)arg;
   (void)whole;
-  pwapi_over(request);
+  pwapi_request_done(request);
 }
 
 static char *read_operators(const char *path, pw_buf *err) {
@@ -384,9 +385,9 @@
 }
 
 pw_code pwcontrol_run(pw_proc *p, pw_buf *err) {
-  pw_control c = {.p = p, .lag.turn_ms = ITERATION_MS};
+  pw_control c = {.p = p, .lag.iteration_max_ms = ITERATION_MS};
   pw_code rc = PW_E_SETTINGS;
-  pw_group_calls calls = {&c, on_applied, on_leadership};
+  pw_group_callbacks calls = {&c, on_applied, on_leadership};
   c.mail = pwmail_new();
   c.dialler = pwwire_dialler(p->wire);
   c.listener = pwwire_listen(p->wire, p->set->control_wire, err);
@@ -396,8 +397,8 @@
   if (rc != PW_OK)
     goto out;
   c.feed = pwfeed_new(p, c.listener, pwctl_resources(&c));
-  c.news = pwnews_new();
-  c.planner = pwplanner_new(pwctl_resources(&c), c.news);
+  c.treereport = pwtreereport_new();
+  c.planner = pwplanner_new(pwctl_resources(&c), c.treereport);
   const pw_doc *doc = pwstate_document(pwgroup_state(c.group));
   c.watch = pwwatch_new(p, c.listener, c.dialler, doc, pwctl_resources(&c));
   c.canaries = pwcanaries_new(pwctl_resources(&c), c.watch,
@@ -419,7 +420,7 @@
   pwleave_free(c.leave);
   pwcanaries_free(c.canaries);
   pwwatch_free(c.watch);
-  pwnews_free(c.news);
+  pwtreereport_free(c.treereport);
   pwfeed_free(c.feed);
   pwgroup_close(c.group);
   pwwire_close(c.listener);
--- a/packages/control/pwctl.h
+++ b/packages/control/pwctl.h
@@ -1,5 +1,5 @@
 /* pwctl.h: state of a control instance, shared by pwcontrol.c, pwctlcall.c
-** and pwrollcall.c. */
+** and pwrolloutapi.c. */
 #ifndef PWCTL_H
 #define PWCTL_H
 
@@ -10,10 +10,10 @@
 #include "pwgroup.h"
 #include "pwlag.h"
 #include "pwleave.h"
-#include "pwnews.h"
 #include "pwplanner.h"
 #include "pwpublish.h"
 #include "pwreads.h"
+#include "pwtreereport.h"
 #include "pwwatch.h"
 
 #include <uthash.h>
@@ -31,11 +31,11 @@
 } pw_ctl_waiter;
 
 /* A long poll: an API call answered at the next change of the resources. */
-typedef struct pw_ctl_watcher {
+typedef struct pw_ctl_long_poll {
   pw_api_call *call;
   int64_t since;
-  struct pw_ctl_watcher *next;
-} pw_ctl_watcher;
+  struct pw_ctl_long_poll *next;
+} pw_ctl_long_poll;
 
 typedef struct pw_control {
   pw_proc *p;
@@ -45,7 +45,7 @@
   pw_server *http, *metrics;
   pw_group *group;
   pw_feed *feed;
-  pw_news *news;
+  pw_treereport *treereport;
   pw_planner *planner;
   pw_canaries *canaries;
   pw_watch *watch;
@@ -59,7 +59,7 @@
   int plan_is_rollout;
   int64_t plan_at;
   pw_ctl_waiter *waiters;
-  pw_ctl_watcher *long_polls;
+  pw_ctl_long_poll *long_polls;
   char *operators;
   uint64_t pushed_revision; /* revision that was last sent to the children */
   /* revision of the resources when leadership began */
@@ -93,7 +93,7 @@
 
 /* Answers the long polls for which something changed, or that waited long
 ** enough. */
-void pwctl_answer_watchers(pw_control *c, int64_t now);
+void pwctl_answer_long_polls(pw_control *c, int64_t now);
 
 /* Fails the requests whose proposals were not decided in time. */
 void pwctl_expire(pw_control *c, int64_t now);
--- a/packages/control/pwctlcall.c
+++ b/packages/control/pwctlcall.c
@@ -3,7 +3,7 @@
 #include "pwctl.h"
 
 #include "pwlog.h"
-#include "pwrollcall.h"
+#include "pwrolloutapi.h"
 #include "pwsitecall.h"
 
 #include <stdio.h>
@@ -72,7 +72,7 @@
 
 static json_t *with_observed(pw_control *c, const pw_resource *one,
                              int64_t now) {
-  json_t *o = pwapi_resource(one);
+  json_t *o = pwapi_resource_json(one);
   pw_feed_sum sum = sum_up(c);
   json_t *force = in_force(c, &sum, now);
   json_int_t revision = json_integer_value(json_object_get(force, "revision"));
@@ -90,7 +90,7 @@
   const pw_resource *one = full ? pwres_first(r) : pwres_after(r, since);
   for (; one; one = one->next)
     if (!full || !one->deleted)
-      json_array_append_new(list, pwapi_resource(one));
+      json_array_append_new(list, pwapi_resource_json(one));
   return json_pack("{s:I,s:o}", "revision", (json_int_t)pwres_revision(r),
                    "resources", list);
 }
@@ -105,15 +105,15 @@
     pwapi_answer(call, 200, list_json(c, call->since, 0));
     return;
   }
-  pw_ctl_watcher *w = pw_alloc(sizeof *w);
-  *w = (pw_ctl_watcher){call, now, c->long_polls};
+  pw_ctl_long_poll *w = pw_alloc(sizeof *w);
+  *w = (pw_ctl_long_poll){call, now, c->long_polls};
   c->long_polls = w;
 }
 
-void pwctl_answer_watchers(pw_control *c, int64_t now) {
-  pw_ctl_watcher **at = &c->long_polls;
+void pwctl_answer_long_polls(pw_control *c, int64_t now) {
+  pw_ctl_long_poll **at = &c->long_polls;
   while (*at) {
-    pw_ctl_watcher *w = *at;
+    pw_ctl_long_poll *w = *at;
     int changed = pwres_revision(pwctl_resources(c)) > w->call->since;
     if (!changed && now - w->since < LONG_POLL_MS &&
         !atomic_load(&c->p->stopping)) {
@@ -204,12 +204,12 @@
   if (pwgroup_lease(c->group, now))
     propose_change(c, call, now);
   else
-    pwsitecall_to_leader(call, c->group);
+    pwsitecall_redirect_to_leader(call, c->group);
 }
 
 static void redirect_to_leader(pw_control *c, pw_api_call *call) {
   if (call->dialect) {
-    pwsitecall_to_leader(call, c->group);
+    pwsitecall_redirect_to_leader(call, c->group);
     return;
   }
   pw_copy(call->leader, sizeof call->leader,
@@ -221,9 +221,9 @@
   if (!pwgroup_lease(c->group, now)) {
     redirect_to_leader(c, call);
   } else if (call->op == PW_API_ROLLOUT_READ) {
-    pwrollcall_read(c, call);
+    pwrolloutapi_read(c, call);
   } else {
-    call->change = pwrollcall_order(c, call);
+    call->change = pwrolloutapi_order(c, call);
     if (call->change)
       propose_change(c, call, now);
   }
@@ -239,8 +239,8 @@
     return;
   }
   if (call->op >= PW_API_SITE_READ) {
-    pwsitecall_take(call, c->group, c->publish, c->reads, c->watch, c->leave,
-                    now);
+    pwsitecall_handle(call, c->group, c->publish, c->reads, c->watch, c->leave,
+                      now);
     return;
   }
   if (!pwgroup_lease(c->group, now)) {
@@ -288,7 +288,7 @@
 static json_t *outcome_json(const Pw__Outcome *o) {
   json_t *list = json_array();
   for (size_t i = 0; i < o->n_resources; i++)
-    json_array_append_new(list, pwapi_packed(o->resources[i]));
+    json_array_append_new(list, pwapi_packed_json(o->resources[i]));
   return json_pack("{s:I,s:o}", "revision", (json_int_t)o->revision,
                    "resources", list);
 }
@@ -302,7 +302,7 @@
   if (o->code == PW_OK || is_done) {
     pwcount_add(c->p->counters, PWC_CHANGES, o->code == PW_OK);
     if (call->op == PW_API_ROLLOUT)
-      pwrollcall_taken(call);
+      pwrolloutapi_accepted(call);
     else
       pwapi_answer(call, 200, outcome_json(o));
     return;
@@ -361,7 +361,7 @@
       pwapi_fail(w->call, PW_E_UNKNOWN, "", "unknown", NULL);
     free(w);
   }
-  pwctl_answer_watchers(c, pwclock_ms());
+  pwctl_answer_long_polls(c, pwclock_ms());
   pwpublish_end(c->publish);
   pwreads_end(c->reads);
   pwleave_end(c->leave);
--- a/packages/control/pwhand.c
+++ b/packages/control/pwdocsend.c
@@ -1,5 +1,5 @@
-/* pwhand.c: sends the configuration document to the gateways that want it. */
-#include "pwhand.h"
+/* pwdocsend.c: sends the configuration document to the gateways that want it. */
+#include "pwdocsend.h"
 
 #include "pwbuf.h"
 #include "pwspread.h"
@@ -9,7 +9,7 @@
 
 /* A gateway that wants or holds the document. */
 typedef struct receiver {
-  pw_spread_place place; /* must be the first field: all[] points to it */
+  pw_spread_peer place; /* must be the first field: all[] points to it */
   pw_peer peer;
   uint64_t incarnation;
   /* address at which it serves documents to other gateways; "": it serves
@@ -17,22 +17,22 @@
   char relay[PW_NAME_MAX];
 } receiver;
 
-struct pw_hand {
+struct pw_docsend {
   pw_sock *listener;
   const pw_doc *doc;
-  pw_spread_place **all; /* each points into a receiver */
+  pw_spread_peer **all; /* each points into a receiver */
   size_t n, cap;
   uint64_t last_id;
 };
 
-pw_hand *pwhand_new(pw_sock *listener, const pw_doc *doc) {
-  pw_hand *h = pw_alloc(sizeof *h);
+pw_docsend *pwdocsend_new(pw_sock *listener, const pw_doc *doc) {
+  pw_docsend *h = pw_alloc(sizeof *h);
   h->listener = listener;
   h->doc = doc;
   return h;
 }
 
-void pwhand_free(pw_hand *h) {
+void pwdocsend_free(pw_docsend *h) {
   if (!h)
     return;
   for (size_t i = 0; i < h->n; i++)
@@ -41,27 +41,27 @@
   free(h);
 }
 
-static receiver *receiver_at(const pw_hand *h, size_t i) {
+static receiver *receiver_at(const pw_docsend *h, size_t i) {
   return (receiver *)h->all[i];
 }
 
-static size_t find(const pw_hand *h, const pw_peer *from,
+static size_t find(const pw_docsend *h, const pw_peer *from,
                    uint64_t incarnation) {
   size_t i = 0;
   while (i < h->n && (receiver_at(h, i)->incarnation != incarnation ||
-                      !pwwire_same(&receiver_at(h, i)->peer, from)))
+                      !pwwire_same_peer(&receiver_at(h, i)->peer, from)))
     i++;
   return i;
 }
 
-static receiver *add(pw_hand *h, const pw_peer *from, uint64_t incarnation) {
+static receiver *add(pw_docsend *h, const pw_peer *from, uint64_t incarnation) {
   receiver *one = pw_alloc(sizeof *one);
   one->peer = *from;
   one->incarnation = incarnation;
   one->place.id = ++h->last_id;
   if (h->n == h->cap) {
     h->cap = h->cap ? h->cap * 2 : 16;
-    pw_spread_place **larger = pw_alloc(sizeof *larger * h->cap);
+    pw_spread_peer **larger = pw_alloc(sizeof *larger * h->cap);
     if (h->n)
       memcpy(larger, h->all, sizeof *larger * h->n);
     free(h->all);
@@ -71,19 +71,19 @@
   return one;
 }
 
-void pwhand_watch(pw_hand *h, const pw_peer *from, uint64_t incarnation,
-                  const Pw__Watch *m, int64_t now) {
+void pwdocsend_watch(pw_docsend *h, const pw_peer *from, uint64_t incarnation,
+                     const Pw__Watch *m, int64_t now) {
   size_t i = find(h, from, incarnation);
   receiver *one = i < h->n ? receiver_at(h, i) : add(h, from, incarnation);
   uint64_t newest = pwdoc_version(h->doc);
   pw_copy(one->relay, sizeof one->relay, m->relay);
-  one->place.can_hand = m->relay[0] != 0;
-  pwspread_holds(&one->place, m->site, newest, h->all, h->n);
+  one->place.can_serve = m->relay[0] != 0;
+  pwspread_received(&one->place, m->site, newest, h->all, h->n);
   if (m->want && m->site < newest)
-    pwspread_want(&one->place, now);
+    pwspread_request(&one->place, now);
 }
 
-void pwhand_drop(pw_hand *h, const pw_peer *from, uint64_t incarnation) {
+void pwdocsend_drop(pw_docsend *h, const pw_peer *from, uint64_t incarnation) {
   size_t i = find(h, from, incarnation);
   if (i == h->n)
     return;
@@ -91,27 +91,28 @@
   h->all[i] = h->all[--h->n];
 }
 
-static void send(pw_hand *h, const receiver *to, Pw__Document *d) {
+static void send(pw_docsend *h, const receiver *to, Pw__Document *d) {
   Pw__Envelope e = PW_ENVELOPE(DOCUMENT, document, d);
   pwwire_send(h->listener, &to->peer, &e);
 }
 
-static void refer_to(pw_hand *h, const receiver *to, const receiver *holder) {
+static void refer_to(pw_docsend *h, const receiver *to,
+                     const receiver *holder) {
   Pw__Document d = PW__DOCUMENT__INIT;
   d.version = pwdoc_version(h->doc);
   d.ask = (char *)holder->relay;
   send(h, to, &d);
 }
 
-void pwhand_serve(pw_hand *h, pw_pace *link, int64_t now) {
+void pwdocsend_serve(pw_docsend *h, pw_pace *link, int64_t now) {
   uint64_t newest = pwdoc_version(h->doc);
-  pw_spread_place *to;
-  while ((to = pwspread_first(h->all, h->n, now)) != NULL) {
+  pw_spread_peer *to;
+  while ((to = pwspread_next(h->all, h->n, now)) != NULL) {
     Pw__Document d = *pwdoc_packed(h->doc, to->holds);
     int from_here;
-    pw_spread_place *holder =
-        pwspread_giver(to, h->all, h->n, newest, d.data.len,
-                       pwpace_has_room(link, now), now, &from_here);
+    pw_spread_peer *holder =
+        pwspread_source(to, h->all, h->n, newest, d.data.len,
+                        pwpace_has_room(link, now), now, &from_here);
     if (!holder && !from_here)
       return;
     pwspread_serve(to, holder, now);
--- a/packages/control/pwgroup.c
+++ b/packages/control/pwgroup.c
@@ -71,7 +71,7 @@
     return PW_E_DISK_FULL;
   /* the transfer message is sent before this instance becomes passive */
   if (!has_room(g, n)) {
-    pwcons_hand_over(g->cons, now);
+    pwcons_transfer_leadership(g->cons, now);
     g->disk_retry_at = now + TRANSFER_MS + DISK_RETRY_MS;
     return PW_E_DISK_FULL;
   }
@@ -132,7 +132,7 @@
   if (g->applied - since < (uint64_t)g->p->set->control_snapshot_every)
     return PW_OK;
   size_t n;
-  pwcons_shed(g->cons);
+  pwcons_free_snapshot_state(g->cons);
   uint8_t *bytes = pwstate_save(g->state, &n);
   pwcons_compact(g->cons, g->applied, bytes, n);
   size_t count;
@@ -170,7 +170,7 @@
   if (is_passive(g, now))
     return PW_OK;
   while (pwcons_ready(g->cons, &r)) {
-    send_all(g, r.early, r.nearly);
+    send_all(g, r.early, r.n_early);
     pwcons_early_sent(g->cons);
     pw_code rc = store_ready(g, &r);
     if (rc == PW_E_DISK_FULL) {
@@ -182,11 +182,11 @@
       return rc;
     if (r.must_sync)
       pwcount_add(g->p->counters, PWC_SYNCS, 1);
-    send_all(g, r.late, r.nlate);
+    send_all(g, r.late, r.n_late);
     pwcons_advance(g->cons);
   }
   const Pw__Entry *e;
-  while ((e = pwcons_next(g->cons)) != NULL)
+  while ((e = pwcons_next_committed(g->cons)) != NULL)
     apply(g, e);
   report_role(g);
   pwgi_manage_members(g);
@@ -197,7 +197,7 @@
   if (g->cons && !is_passive(g, now))
     pwcons_tick(g->cons, now);
   int interval = g->known_members.n == PWCONS_MEMBERS ? JOIN_SLOW_MS : JOIN_MS;
-  if ((g->cons && !pwgi_seeks(g)) || now - g->join_sent_at < interval)
+  if ((g->cons && !pwgi_must_join(g)) || now - g->join_sent_at < interval)
     return;
   g->join_sent_at = now;
   for (contact *c = g->contacts; c; c = c->next)
@@ -206,8 +206,9 @@
 
 /* --- start, stop and state --- */
 
-pw_code pwgroup_open(pw_proc *p, pw_sock *dialler, const pw_group_calls *calls,
-                     pw_group **out, pw_buf *err) {
+pw_code pwgroup_open(pw_proc *p, pw_sock *dialler,
+                     const pw_group_callbacks *calls, pw_group **out,
+                     pw_buf *err) {
   pw_group *g = pw_alloc(sizeof *g);
   g->p = p;
   g->sock = dialler;
@@ -254,8 +255,8 @@
   free(g);
 }
 
-int pwgroup_hand_over(pw_group *g, int64_t now) {
-  return g->cons && pwcons_hand_over(g->cons, now);
+int pwgroup_transfer_leadership(pw_group *g, int64_t now) {
+  return g->cons && pwcons_transfer_leadership(g->cons, now);
 }
 
 int pwgroup_is_leader(const pw_group *g) {
@@ -265,7 +266,7 @@
 /* A lease counts only once all that is committed is applied: a new leader
 ** may have learnt just now what the one before has accepted. */
 int pwgroup_lease(const pw_group *g, int64_t now) {
-  return g->cons && pwcons_lease(g->cons, now) &&
+  return g->cons && pwcons_holds_lease(g->cons, now) &&
          g->applied >= pwcons_commit(g->cons);
 }
 
@@ -279,7 +280,7 @@
 }
 
 int pwgroup_is_member(const pw_group *g) {
-  return g->cons && !(pwgi_seeks(g) && g->known_members.n &&
+  return g->cons && !(pwgi_must_join(g) && g->known_members.n &&
                       !pwmember_has(&g->known_members, g->id));
 }
 
@@ -330,7 +331,7 @@
   return g->applied;
 }
 
-int pwgroup_ask_leader(pw_group *g, Pw__Envelope *e) {
+int pwgroup_send_to_leader(pw_group *g, Pw__Envelope *e) {
   const char *addr = pwgroup_leader_wire(g);
   if (!addr[0])
     return -1;
--- a/packages/control/pwgroup.h
+++ b/packages/control/pwgroup.h
@@ -9,7 +9,7 @@
 
 typedef struct pw_group pw_group;
 
-typedef struct pw_group_calls {
+typedef struct pw_group_callbacks {
   void *arg;
 
   /* A committed entry was applied; the callee frees `outcome` and `claimed`,
@@ -19,12 +19,13 @@
 
   /* Leadership of this instance began or ended. */
   void (*role_changed)(void *arg, int leader);
-} pw_group_calls;
+} pw_group_callbacks;
 
 /* Opens the data folder and resumes membership of the group that is stored
 ** there, if any. Reasons for a failure go to err. */
-pw_code pwgroup_open(pw_proc *p, pw_sock *dialler, const pw_group_calls *calls,
-                     pw_group **out, pw_buf *err);
+pw_code pwgroup_open(pw_proc *p, pw_sock *dialler,
+                     const pw_group_callbacks *calls, pw_group **out,
+                     pw_buf *err);
 void pwgroup_close(pw_group *g);
 
 const pw_state *pwgroup_state(const pw_group *g);
@@ -48,7 +49,7 @@
 
 /* Transfers leadership to another member before a planned stop; 0: there is
 ** none to transfer it to. */
-int pwgroup_hand_over(pw_group *g, int64_t now);
+int pwgroup_transfer_leadership(pw_group *g, int64_t now);
 
 int pwgroup_is_leader(const pw_group *g);
 
@@ -66,7 +67,7 @@
 uint64_t pwgroup_applied(const pw_group *g);
 
 /* Sends a message to the leader; -1: none is known. */
-int pwgroup_ask_leader(pw_group *g, Pw__Envelope *e);
+int pwgroup_send_to_leader(pw_group *g, Pw__Envelope *e);
 
 /* Whether there is contact with a leader, or this instance is the leader. */
 int pwgroup_in_touch(const pw_group *g, int64_t now);
--- a/packages/control/pwgroupint.h
+++ b/packages/control/pwgroupint.h
@@ -22,7 +22,7 @@
 struct pw_group {
   pw_proc *p;
   pw_sock *sock;
-  pw_group_calls calls;
+  pw_group_callbacks calls;
   pw_store *store;
   pw_state *state;
   pw_cons *cons; /* NULL while not in a group */
@@ -78,7 +78,7 @@
 
 /* Whether this instance must ask to be let into the group, or to be let in
 ** again. */
-int pwgi_seeks(const pw_group *g);
+int pwgi_must_join(const pw_group *g);
 
 /* Sends a Join message with the identity and membership of this instance;
 ** `reply`: it answers one. */
--- a/packages/control/pwjoin.c
+++ b/packages/control/pwjoin.c
@@ -192,11 +192,11 @@
 ** asks the seeds, too. */
 #define SILENT_LEASES 3
 
-int pwgi_seeks(const pw_group *g) {
+int pwgi_must_join(const pw_group *g) {
   int64_t lease = g->p->set->control_lease;
   if (!g->cons)
     return 0;
-  return pwmember_seeks(g->cons, g->id, lease) ||
+  return pwmember_must_join(g->cons, g->id, lease) ||
          (g->uses_seeds && pwcons_silence(g->cons) > SILENT_LEASES * lease);
 }
 
@@ -208,7 +208,7 @@
   j.http = g->p->set->control_http;
   j.reply = reply;
   j.initialised = g->cons != NULL;
-  j.learner = pwgi_seeks(g);
+  j.learner = pwgi_must_join(g);
   j.leader = (char *)pwgroup_leader_http(g);
   j.group = pwgroup_number(g);
   if (g->cons)
--- a/packages/control/pwleave.c
+++ b/packages/control/pwleave.c
@@ -40,7 +40,7 @@
   while (l->first) {
     waiter *one = l->first;
     l->first = one->next;
-    pwapi_fail(one->call, PW_E_UNHEARD, "", "unknown", NULL);
+    pwapi_fail(one->call, PW_E_ISOLATED, "", "unknown", NULL);
     free(one);
   }
 }
@@ -66,11 +66,11 @@
   if (is_member)
     acknowledge(call);
   else
-    pwapi_fail(call, PW_E_UNHEARD, "", "unknown", NULL);
+    pwapi_fail(call, PW_E_ISOLATED, "", "unknown", NULL);
 }
 
 void pwleave_work(pw_leave *l, int is_member, int64_t now) {
-  uint64_t confirmed = pwwatch_held(l->watch);
+  uint64_t confirmed = pwwatch_replicated_seq(l->watch);
   for (waiter **at = &l->first; *at;) {
     waiter *one = *at;
     int is_confirmed = confirmed >= one->number;
--- a/packages/control/pwoutbox.c
+++ b/packages/control/pwoutbox.c
@@ -23,7 +23,7 @@
     abort();
 }
 
-int pwoutbox_add(pw_outbox *o, const pw_tidings *t) {
+int pwoutbox_add(pw_outbox *o, const pw_target_update *t) {
   int is_full = o->n == ITEMS_MAX;
   if (is_full)
     o->n = 0;
@@ -41,19 +41,20 @@
   return since >= renewal_ms || (o->change_at && since >= batch_ms);
 }
 
-void pwoutbox_told(pw_outbox *o, int64_t now) {
+void pwoutbox_sent(pw_outbox *o, int64_t now) {
   o->n = 0;
   o->change_at = 0;
   o->sent_at = now;
 }
 
-void pwbundle_make(pw_bundle *b, const pw_outbox *o,
-                   int (*concerns)(const pw_tidings *t), int64_t now) {
-  *b = (pw_bundle){.notice = PW__NOTICE__INIT};
+void pwoutbox_make_batch(pw_outbox_batch *b, const pw_outbox *o,
+                         int (*concerns)(const pw_target_update *t),
+                         int64_t now) {
+  *b = (pw_outbox_batch){.notice = PW__NOTICE__INIT};
   b->beat = pw_alloc(sizeof *b->beat * (o->n + 1));
   b->beat_ptr = pw_alloc(sizeof *b->beat_ptr * (o->n + 1));
   for (size_t i = 0; i < o->n; i++) {
-    const pw_tidings *t = &o->item[i];
+    const pw_target_update *t = &o->item[i];
     int64_t age = now - t->received_at;
     if (!concerns(t))
       continue;
@@ -69,7 +70,7 @@
   pwtable_put(b->beat_ptr, b->n, &b->notice);
 }
 
-void pwbundle_free(pw_bundle *b) {
+void pwoutbox_free_batch(pw_outbox_batch *b) {
   free(b->notice.table.data);
   free(b->beat_ptr);
   free(b->beat);
--- a/packages/control/pwpeers.c
+++ b/packages/control/pwpeers.c
@@ -67,7 +67,7 @@
 
 static link *link_from(const pw_peers *o, const pw_peer *from) {
   for (link *one = o->links; one; one = one->next)
-    if (pwwire_same(&one->peer, from))
+    if (pwwire_same_peer(&one->peer, from))
       return one;
   return NULL;
 }
@@ -84,8 +84,8 @@
   Pw__Watch m = PW__WATCH__INIT;
   m.primary = is_for_all;
   m.control = o->p->set->control_wire;
-  m.holds = pwtelling_has(&p->told);
-  m.holds_of = p->told.life;
+  m.holds = pwsequence_complete_to(&p->received);
+  m.holds_of = p->received.incarnation;
   Pw__Envelope e = PW_ENVELOPE(WATCH, watch, &m);
   pwwire_send(o->dialler, &link_of(o, p->addr)->peer, &e);
   p->asked_at = now;
@@ -98,7 +98,7 @@
   o->is_limit_logged = 1;
 }
 
-void pwpeers_watched(pw_peers *o, const Pw__Watch *m, int64_t now) {
+void pwpeers_on_watch(pw_peers *o, const Pw__Watch *m, int64_t now) {
   if (!m->control[0])
     return;
   pw_mesh_peer *p = pwmesh_watched(&o->mesh, m->control, m->primary, now);
@@ -108,26 +108,26 @@
     p->holds = m->holds;
 }
 
-void pwpeers_told(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
-                  int64_t now) {
+void pwpeers_on_notice(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
+                       int64_t now) {
   link *one = link_from(o, from);
   pw_mesh_peer *p = one ? peer_at(o, one->addr) : NULL;
   const Pw__Notice *n = e->notice;
-  if (!p || pwmesh_watch_of(&o->mesh, p) != PWMESH_FOR_ALL)
+  if (!p || pwmesh_watch_of(&o->mesh, p) != PWMESH_TARGETS)
     return;
-  int was_complete = p->told.is_whole;
-  pwtelling_take(&p->told, e->incarnation, n->number,
-                 n->n_beats || n->table_size, n->full);
-  if (was_complete && !p->told.is_whole) {
-    pwcount_add(o->p->counters, PWC_TELLINGS_LOST, 1);
+  int was_complete = p->received.is_complete;
+  pwsequence_receive(&p->received, e->incarnation, n->number,
+                     n->n_beats || n->table_size, n->full);
+  if (was_complete && !p->received.is_complete) {
+    pwcount_add(o->p->counters, PWC_UPDATES_LOST, 1);
     pwlog(LOG_NOTICE, "telling-lost", "control=%s number=%llu", p->addr,
           (unsigned long long)n->number);
   }
-  if (n->confirm && p->told.is_whole)
+  if (n->confirm && p->received.is_complete)
     send_watch(o, p, 1, now);
 }
 
-void pwpeers_ask_all(pw_peers *o, const pw_peer *from) {
+void pwpeers_request_all(pw_peers *o, const pw_peer *from) {
   link *one = link_from(o, from);
   if (one)
     one->must_request_all = 1;
@@ -138,7 +138,7 @@
 ** message and begins anew with the second. */
 static void request_missing(pw_peers *o, pw_mesh_peer *p, int64_t now) {
   link *one = link_of(o, p->addr);
-  int is_missing = one->must_request_all || !p->told.is_whole;
+  int is_missing = one->must_request_all || !p->received.is_complete;
   if (!is_missing || now - one->requested_all_at < REQUEST_ALL_MS)
     return;
   one->requested_all_at = now;
@@ -155,9 +155,9 @@
     /* The request for missing updates has a timer of its own: each heartbeat
     ** of a target that leaves is confirmed with a Watch, and a shared timer
     ** would put the request off each time. */
-    if (watch == PWMESH_FOR_ALL)
+    if (watch == PWMESH_TARGETS)
       request_missing(o, p, now);
-    if (watch != PWMESH_NOT && now - p->asked_at >= WATCH_MS)
-      send_watch(o, p, watch == PWMESH_FOR_ALL, now);
+    if (watch != PWMESH_NONE && now - p->asked_at >= WATCH_MS)
+      send_watch(o, p, watch == PWMESH_TARGETS, now);
   }
 }
--- a/packages/control/pwpeers.h
+++ b/packages/control/pwpeers.h
@@ -15,16 +15,16 @@
 pw_mesh *pwpeers_mesh(pw_peers *o);
 
 /* Handles a Watch message of another control instance. */
-void pwpeers_watched(pw_peers *o, const Pw__Watch *m, int64_t now);
+void pwpeers_on_watch(pw_peers *o, const Pw__Watch *m, int64_t now);
 
 /* Checks a Notice of another control instance for a gap in the numbers of
 ** its updates. */
-void pwpeers_told(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
-                  int64_t now);
+void pwpeers_on_notice(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
+                       int64_t now);
 
 /* Requests everything from an instance that sent a renewal of a target
 ** unknown here, as after a long stall. */
-void pwpeers_ask_all(pw_peers *o, const pw_peer *from);
+void pwpeers_request_all(pw_peers *o, const pw_peer *from);
 
 /* Sends the Watch messages that are due. */
 void pwpeers_tick(pw_peers *o, int64_t now);
--- a/packages/control/pwplanner.c
+++ b/packages/control/pwplanner.c
@@ -11,10 +11,10 @@
 #define PASS_MS 1000 /* interval of passes while nothing changes */
 #define BATCH_MAX 8  /* targets whose assignments are written by one change */
 
-pw_planner *pwplanner_new(const pw_res *res, const pw_news *news) {
+pw_planner *pwplanner_new(const pw_res *res, const pw_treereport *treereport) {
   pw_planner *pl = pw_alloc(sizeof *pl);
   pl->res = res;
-  pl->news = news;
+  pl->treereport = treereport;
   pl->loads_at_once = PWPL_LOADS_AT_ONCE;
   return pl;
 }
@@ -26,7 +26,7 @@
   free(pl);
 }
 
-void pwplanner_lead(pw_planner *pl, int64_t now) {
+void pwplanner_start_leading(pw_planner *pl, int64_t now) {
   pwpl_clear(pl);
   pl->next_load_at = now;
   pl->is_proposed = 0;
@@ -43,7 +43,7 @@
 }
 
 static void note_result(slot *s, const Pw__ModelState *ms, int64_t now) {
-  s->s.acted = 1;
+  s->s.load_ended = 1;
   s->s.loaded = ms->loaded;
   if (ms->loaded) {
     s->s.failures = 0;
@@ -59,9 +59,9 @@
 ** with, until a rollout replaces that. */
 static void update_slot(const pw_planner *pl, const model *m, slot *s,
                         int64_t now) {
-  const Pw__TargetState *st = pwnews_target(pl->news, s->t->name);
+  const Pw__TargetState *st = pwtreereport_target(pl->treereport, s->t->name);
   s->s.usable = st && !st->gone && !s->t->drain;
-  s->s.acted = 0;
+  s->s.load_ended = 0;
   s->s.loaded = 0;
   if (!s->attempt) {
     const pw_rollout *r = &m->rollout;
@@ -106,13 +106,13 @@
   int n = 0;
   for (int i = 0; i < sl->n; i++) {
     const target *t = sl->of[i]->t;
-    n += !t->drain && !pwnews_target(pl->news, t->name);
+    n += !t->drain && !pwtreereport_target(pl->treereport, t->name);
   }
   return n;
 }
 
 static int is_loading(const pw_plan_slot *s) {
-  return s->usable && s->has_load && !s->acted;
+  return s->usable && s->has_load && !s->load_ended;
 }
 
 static int count_loading(const pw_planner *pl) {
@@ -186,7 +186,7 @@
 
 /* --- rollouts --- */
 
-static void read_steps(const json_t *spec, pw_rollout_ask *ask) {
+static void read_steps(const json_t *spec, pw_rollout_input *ask) {
   size_t i;
   const json_t *step;
   json_array_foreach(json_object_get(spec, "steps"), i, step) {
@@ -196,7 +196,7 @@
 }
 
 static void read_version(const pw_planner *pl, const char *name,
-                         pw_rollout_ask *ask) {
+                         pw_rollout_input *ask) {
   const pw_resource *one = pwres_get(pl->res, "version", name);
   json_t *spec = one ? json_loads(one->spec, 0, NULL) : NULL;
   read_steps(spec, ask);
@@ -211,16 +211,16 @@
 static void sum_versions(const pw_planner *pl, const model *m, double *done_to,
                          double *failed_to, double *done_from,
                          double *failed_from) {
-  char pool[PWASSIGN_POOL];
-  pwassign_pool(pool, m->name, m->rollout.to);
-  pwnews_sum(pl->news, pool, done_to, failed_to);
-  pwassign_pool(pool, m->name, m->rollout.from);
-  pwnews_sum(pl->news, pool, done_from, failed_from);
+  char pool[PWASSIGN_POOL_BYTES];
+  pwassign_pool_name(pool, m->name, m->rollout.to);
+  pwtreereport_sum(pl->treereport, pool, done_to, failed_to);
+  pwassign_pool_name(pool, m->name, m->rollout.from);
+  pwtreereport_sum(pl->treereport, pool, done_from, failed_from);
 }
 
 /* Counts the attempts that ended since the rollout step began, and for how
 ** long its share has been in force. */
-static void count_step(const pw_planner *pl, model *m, pw_rollout_ask *ask,
+static void count_step(const pw_planner *pl, model *m, pw_rollout_input *ask,
                        int64_t now) {
   const pw_rollout *r = &m->rollout;
   double dt, ft, df, ff;
@@ -262,9 +262,10 @@
 static void advance_rollout(pw_planner *pl, model *m, const slots *sl,
                             Pw__Change *ch, int64_t now) {
   pw_rollout next;
-  pw_rollout_ask ask = {.wanted = m->wanted_version,
-                        .asked = m->resource_version,
-                        .is_new = !m->has_rollout && m->resource_version == 1};
+  pw_rollout_input ask = {.wanted = m->wanted_version,
+                          .asked = m->resource_version,
+                          .is_new =
+                              !m->has_rollout && m->resource_version == 1};
   read_version(pl, m->wanted_version, &ask);
   ask.ready = pwplan_ready(sl->s, sl->n, m->rollout.to);
   ask.loads_failed = count_failed(sl, m->rollout.to);
@@ -278,7 +279,7 @@
 /* --- the plan --- */
 
 static double goal_share(const pw_planner *pl, const model *m) {
-  pw_rollout_ask ask = {0};
+  pw_rollout_input ask = {0};
   read_version(pl, m->rollout.to, &ask);
   return pwrollout_goal(&m->rollout, &ask);
 }
@@ -295,7 +296,7 @@
   if (step->kind != PW_PLAN_LOAD)
     return;
   s->has_load = 1;
-  s->acted = 0;
+  s->load_ended = 0;
   pw_copy(s->load, sizeof s->load, step->version);
   if (pl->weights_rate > 0) {
     double ms = load_bytes(pl, m, step->version) / pl->weights_rate * 1000;
@@ -306,10 +307,10 @@
 
 static void plan_model(pw_planner *pl, model *m, slots *sl, Pw__Change *ch,
                        int *loading, uint64_t term, int64_t now) {
-  pw_plan_ask ask = {.from = m->rollout.from,
-                     .to = m->rollout.to,
-                     .share = goal_share(pl, m),
-                     .replicas = m->replicas};
+  pw_plan_input ask = {.from = m->rollout.from,
+                       .to = m->rollout.to,
+                       .share = goal_share(pl, m),
+                       .replicas = m->replicas};
   while (ch->n_puts < BATCH_MAX) {
     ask.may_load = *loading < pl->loads_at_once && now >= pl->next_load_at;
     pw_plan_step step = pwplan_next(&ask, sl->s, sl->n, now);
@@ -391,7 +392,7 @@
 }
 
 Pw__Change *pwplanner_next(pw_planner *pl, uint64_t term, int64_t now) {
-  uint64_t changes = pwnews_changes(pl->news);
+  uint64_t changes = pwtreereport_changes(pl->treereport);
   int is_unchanged = pl->read_revision == pwres_revision(pl->res) &&
                      changes == pl->changes_seen;
   if (pl->is_proposed || (is_unchanged && now - pl->last_pass_at < PASS_MS))
@@ -448,10 +449,10 @@
   for (int i = 0; i < sl.n; i++) {
     usable += sl.s[i].usable;
     loading += is_loading(&sl.s[i]);
-    failed += sl.s[i].has_load && sl.s[i].acted && !sl.s[i].loaded;
+    failed += sl.s[i].has_load && sl.s[i].load_ended && !sl.s[i].loaded;
   }
   const pw_rollout *r = &m->rollout;
-  int is_rolled_back = r->state == PW_ROLLOUT_BACK;
+  int is_rolled_back = r->state == PW_ROLLOUT_ROLLED_BACK;
   int serving_goal = m->replicas && m->replicas < usable ? m->replicas : usable;
   int serving_right =
       pwplan_serving(sl.s, sl.n, is_rolled_back ? r->from : r->to);
--- a/packages/control/pwplanner.h
+++ b/packages/control/pwplanner.h
@@ -10,16 +10,16 @@
 #ifndef PWPLANNER_H
 #define PWPLANNER_H
 
-#include "pwnews.h"
 #include "pwres.h"
+#include "pwtreereport.h"
 
 typedef struct pw_planner pw_planner;
 
-pw_planner *pwplanner_new(const pw_res *res, const pw_news *news);
+pw_planner *pwplanner_new(const pw_res *res, const pw_treereport *treereport);
 void pwplanner_free(pw_planner *pl);
 
 /* Drops all that is kept in memory, when this instance begins to lead. */
-void pwplanner_lead(pw_planner *pl, int64_t now);
+void pwplanner_start_leading(pw_planner *pl, int64_t now);
 
 /* The next change to propose, or NULL; freed with the pb functions. The
 ** caller proposes it, and reports the result with pwplanner_done before it
--- a/packages/control/pwplannerint.h
+++ b/packages/control/pwplannerint.h
@@ -58,7 +58,7 @@
 
 struct pw_planner {
   const pw_res *res;
-  const pw_news *news;
+  const pw_treereport *treereport;
   target *targets;
   model *models;
   uint64_t read_revision; /* revision up to which the resources were read */
--- a/packages/control/pwplanread.c
+++ b/packages/control/pwplanread.c
@@ -59,7 +59,7 @@
 
 static void read_rollout(pw_planner *pl, const pw_resource *one) {
   model *m = model_of(pl, one->name);
-  m->has_rollout = pwassign_rollout(pl->res, one->name, &m->rollout);
+  m->has_rollout = pwassign_read_rollout(pl->res, one->name, &m->rollout);
   m->rollout_version = one->deleted ? 0 : one->version;
 }
 
@@ -67,7 +67,7 @@
   for (model *m = pl->models; m; m = m->hh.next)
     m->nadapters = 0;
   for (const pw_resource *one = pwres_first(pl->res); one; one = one->next) {
-    if (!pwres_is(one, "adapter"))
+    if (!pwres_is_live(one, "adapter"))
       continue;
     json_t *spec = json_loads(one->spec, 0, NULL);
     model *m = model_of(pl, pwjson_text(spec, "model"));
--- a/packages/control/pwreads.c
+++ b/packages/control/pwreads.c
@@ -51,16 +51,16 @@
   Pw__Confirm m = PW__CONFIRM__INIT;
   m.number = ++r->last_number;
   Pw__Envelope e = PW_ENVELOPE(CONFIRM, confirm, &m);
-  return pwgroup_ask_leader(r->g, &e) == 0;
+  return pwgroup_send_to_leader(r->g, &e) == 0;
 }
 
 void pwreads_add(pw_reads *r, pw_api_call *call, int64_t now) {
   if (pwgroup_lease(r->g, now)) {
-    pwsitecall_read_site(call, r->g);
+    pwsitecall_answer_site(call, r->g);
     return;
   }
   if (pwgroup_is_leader(r->g) || !ask(r)) {
-    pwsitecall_to_leader(call, r->g);
+    pwsitecall_redirect_to_leader(call, r->g);
     return;
   }
   waiter *one = pw_alloc(sizeof *one);
@@ -104,9 +104,9 @@
     }
     *at = one->next;
     if (is_ready)
-      pwsitecall_read_site(one->call, r->g);
+      pwsitecall_answer_site(one->call, r->g);
     else
-      pwsitecall_to_leader(one->call, r->g);
+      pwsitecall_redirect_to_leader(one->call, r->g);
     free(one);
   }
 }
--- a/packages/control/pwrollcall.c
+++ b/packages/control/pwrolloutapi.c
@@ -1,6 +1,6 @@
-/* pwrollcall.c: API calls that order a rollout of a service, or read its
+/* pwrolloutapi.c: API calls that order a rollout of a service, or read its
 ** state. */
-#include "pwrollcall.h"
+#include "pwrolloutapi.h"
 
 #include <stdio.h>
 #include <string.h>
@@ -40,11 +40,11 @@
       c->p->dialect->read_site(text, n, &site, why, sizeof why) != PW_OK)
     return 0;
   int is = pwsite_service_index(site, name) >= 0;
-  pwsite_drop(site);
+  pwsite_release(site);
   return is;
 }
 
-Pw__Change *pwrollcall_order(pw_control *c, pw_api_call *call) {
+Pw__Change *pwrolloutapi_order(pw_control *c, pw_api_call *call) {
   char why[160] = "";
   Pw__Change *ch = NULL;
   pw_code rc = PW_E_REFERENCE;
@@ -56,11 +56,11 @@
   if (rc != PW_OK)
     pwapi_fail(call, rc, why, "not-run", NULL);
   else if (!ch)
-    pwrollcall_read(c, call);
+    pwrolloutapi_read(c, call);
   return ch;
 }
 
-void pwrollcall_read(pw_control *c, pw_api_call *call) {
+void pwrolloutapi_read(pw_control *c, pw_api_call *call) {
   char version[PW_NAME_MAX];
   pw_canary at;
   pw_code rc =
@@ -71,6 +71,6 @@
     pwapi_fail(call, rc, "", "not-run", NULL);
 }
 
-void pwrollcall_taken(pw_api_call *call) {
+void pwrolloutapi_accepted(pw_api_call *call) {
   answer(call, call->order.version, (pw_canary){0});
 }
--- a/packages/control/pwrolltold.c
+++ b/packages/control/pwrollwire.c
@@ -1,6 +1,6 @@
-/* pwrolltold.c: rollouts of services in the form in which Notices carry them
+/* pwrollwire.c: rollouts of services in the form in which Notices carry them
 ** to gateways. */
-#include "pwrolltold.h"
+#include "pwrollwire.h"
 
 #include "pwbuf.h"
 #include "pwcanary.h"
@@ -8,11 +8,11 @@
 
 #include <stdlib.h>
 
-void pwrolltold_free(pw_rolltold *t) {
+void pwrollwire_free(pw_rollwire *t) {
   for (size_t i = 0; i < t->n; i++)
     pw__service_rollout__free_unpacked(t->list[i], NULL);
   free(t->list);
-  *t = (pw_rolltold){0};
+  *t = (pw_rollwire){0};
 }
 
 static Pw__ServiceRollout *pack(const pw_resource *one) {
@@ -28,17 +28,17 @@
   return r;
 }
 
-void pwrolltold_read(pw_rolltold *t, const pw_res *resources) {
+void pwrollwire_read(pw_rollwire *t, const pw_res *resources) {
   uint64_t revision = pwres_revision(resources);
   size_t n = 0;
   if (t->revision == revision)
     return;
-  pwrolltold_free(t);
+  pwrollwire_free(t);
   t->revision = revision;
   for (const pw_resource *one = pwres_first(resources); one; one = one->next)
-    n += (size_t)pwres_is(one, PW_KIND_SERVICE_ROLLOUT);
+    n += (size_t)pwres_is_live(one, PW_KIND_SERVICE_ROLLOUT);
   t->list = pw_alloc(sizeof(void *) * (n + 1));
   for (const pw_resource *one = pwres_first(resources); one; one = one->next)
-    if (pwres_is(one, PW_KIND_SERVICE_ROLLOUT))
+    if (pwres_is_live(one, PW_KIND_SERVICE_ROLLOUT))
       t->list[t->n++] = pack(one);
 }
--- a/packages/control/pwsitecall.c
+++ b/packages/control/pwsitecall.c
@@ -15,7 +15,7 @@
   if (rc != PW_OK)
     return rc;
   c->document_version = pwsite_version(site);
-  pwsite_drop(site);
+  pwsite_release(site);
   pwbuf_add(&c->document, body, n);
   return PW_OK;
 }
@@ -24,7 +24,7 @@
                         int *is_heartbeat, char *message, size_t cap) {
   static const pw_api_op ops[] = {[PWCALL_SITE_READ] = PW_API_SITE_READ,
                                   [PWCALL_SITE_WRITE] = PW_API_SITE_WRITE,
-                                  [PWCALL_BEAT] = PW_API_BEAT,
+                                  [PWCALL_HEARTBEAT] = PW_API_BEAT,
                                   [PWCALL_LEAVE] = PW_API_LEAVE,
                                   [PWCALL_EVACUATE] = PW_API_EVACUATE,
                                   [PWCALL_EVACUATE_END] = PW_API_EVACUATE,
@@ -37,7 +37,7 @@
   pw_call_kind kind = d->read_call(pwserve_method(h), pwserve_path(h), id);
   if (kind == PWCALL_OTHER || kind == PWCALL_BAD_METHOD)
     return PW_E_PATH;
-  *is_heartbeat = kind == PWCALL_BEAT || kind == PWCALL_LEAVE;
+  *is_heartbeat = kind == PWCALL_HEARTBEAT || kind == PWCALL_LEAVE;
   pw_api_call *c = pwapi_new(ops[kind]);
   size_t n;
   const char *body = pwserve_body(h, &n);
@@ -46,8 +46,8 @@
   c->dialect = d;
   if (kind == PWCALL_SITE_WRITE)
     rc = read_document(h, d, c, message, cap);
-  else if (kind == PWCALL_BEAT)
-    rc = d->read_beat(id, body, n, &c->beat, message, cap);
+  else if (kind == PWCALL_HEARTBEAT)
+    rc = d->read_heartbeat(id, body, n, &c->beat, message, cap);
   else if (kind == PWCALL_LEAVE)
     rc = d->read_leave(id, body, n, &c->beat, message, cap);
   else if (kind == PWCALL_ROLLOUT)
@@ -55,8 +55,8 @@
   else if (kind == PWCALL_ROLLOUT_READ)
     pw_copy(c->order.service, sizeof c->order.service, id);
   else if (c->op == PW_API_EVACUATE)
-    c->change = pwapi_one(PW_KIND_EVACUATION, id,
-                          kind == PWCALL_EVACUATE ? "{}" : NULL);
+    c->change = pwapi_single_put(PW_KIND_EVACUATION, id,
+                                 kind == PWCALL_EVACUATE ? "{}" : NULL);
   if (rc == PW_OK)
     *out = c;
   else
@@ -64,7 +64,7 @@
   return rc;
 }
 
-void pwsitecall_to_leader(pw_api_call *call, const pw_group *g) {
+void pwsitecall_redirect_to_leader(pw_api_call *call, const pw_group *g) {
   const char *leader = pwgroup_is_leader(g) ? "" : pwgroup_leader_http(g);
   if (leader[0])
     pwapi_redirect(call, leader, call->name);
@@ -72,7 +72,7 @@
     pwapi_fail(call, PW_E_NOT_LEADER, "", "not-run", NULL);
 }
 
-void pwsitecall_read_site(pw_api_call *call, const pw_group *g) {
+void pwsitecall_answer_site(pw_api_call *call, const pw_group *g) {
   size_t n;
   const pw_doc *doc = pwstate_document(pwgroup_state(g));
   const char *text = pwdoc_text(doc, &n);
@@ -88,14 +88,14 @@
 static void take_beat(pw_api_call *call, const pw_group *g, pw_watch *w,
                       pw_leave *l, int64_t now) {
   uint64_t number = pwwatch_beat(w, &call->beat, call->op == PW_API_LEAVE, now);
-  if (pwwatch_is_heard(w, now) || pwgroup_may_found(g))
+  if (pwwatch_is_connected(w, now) || pwgroup_may_found(g))
     pwleave_add(l, call, number, now);
   else
-    pwapi_fail(call, PW_E_UNHEARD, "", "unknown", NULL);
+    pwapi_fail(call, PW_E_ISOLATED, "", "unknown", NULL);
 }
 
-void pwsitecall_take(pw_api_call *call, pw_group *g, pw_publish *p, pw_reads *r,
-                     pw_watch *w, pw_leave *l, int64_t now) {
+void pwsitecall_handle(pw_api_call *call, pw_group *g, pw_publish *p,
+                       pw_reads *r, pw_watch *w, pw_leave *l, int64_t now) {
   switch (call->op) {
   case PW_API_BEAT:
   case PW_API_LEAVE:
@@ -105,7 +105,7 @@
     if (pwgroup_lease(g, now))
       pwpublish_add(p, call, now);
     else
-      pwsitecall_to_leader(call, g);
+      pwsitecall_redirect_to_leader(call, g);
     break;
   default:
     pwreads_add(r, call, now);
--- a/packages/control/pwsitecall.h
+++ b/packages/control/pwsitecall.h
@@ -17,13 +17,13 @@
                         int *is_heartbeat, char *message, size_t cap);
 
 /* Control thread: carries out the call and answers it. */
-void pwsitecall_take(pw_api_call *call, pw_group *g, pw_publish *p, pw_reads *r,
-                     pw_watch *w, pw_leave *l, int64_t now);
+void pwsitecall_handle(pw_api_call *call, pw_group *g, pw_publish *p,
+                       pw_reads *r, pw_watch *w, pw_leave *l, int64_t now);
 
 /* Control thread: answers a read with the configuration applied here;
 ** redirects a caller to the leader, or fails the call when no leader is
 ** known. */
-void pwsitecall_read_site(pw_api_call *call, const pw_group *g);
-void pwsitecall_to_leader(pw_api_call *call, const pw_group *g);
+void pwsitecall_answer_site(pw_api_call *call, const pw_group *g);
+void pwsitecall_redirect_to_leader(pw_api_call *call, const pw_group *g);
 
 #endif
--- a/packages/control/pwwatch.c
+++ b/packages/control/pwwatch.c
@@ -3,14 +3,14 @@
 #include "pwwatch.h"
 
 #include "pwbuf.h"
-#include "pwgather.h"
-#include "pwhand.h"
+#include "pwcoalesce.h"
+#include "pwdocsend.h"
 #include "pwlimits.h"
 #include "pwlog.h"
 #include "pwoutbox.h"
 #include "pwpace.h"
 #include "pwpeers.h"
-#include "pwrolltold.h"
+#include "pwrollwire.h"
 #include "pwsuspects.h"
 #include "pwtable.h"
 
@@ -67,7 +67,7 @@
   const pw_doc *doc;
   const pw_res *resources;
   pw_zones evacuated;
-  pw_rolltold rollouts;
+  pw_rollwire rollouts;
   pw_fleet *targets;
   watcher *watchers;
   int nwatchers;
@@ -86,7 +86,7 @@
   pw_quarantine *quarantine;
   /* where in the quarantine the next list of suspects begins */
   size_t next_suspect;
-  pw_hand *docsend;
+  pw_docsend *docsend;
   pw_pace bulk_pace; /* rate of tables and documents */
   Pw__Notice table;  /* the table of all targets that was built last */
   int64_t table_built_at;
@@ -107,7 +107,7 @@
   w->doc = doc;
   w->resources = resources;
   w->quarantine = pwquar_new();
-  w->docsend = pwhand_new(listener, doc);
+  w->docsend = pwdocsend_new(listener, doc);
   w->bulk_pace = pwpace_of(p->set->control_link);
   w->targets = pwfleet_new(p->set->availability_zone, p->set->control_beat, 0);
   return w;
@@ -125,10 +125,10 @@
   pwoutbox_free(&w->to_control);
   pwoutbox_free(&w->to_gateways);
   pwquar_free(w->quarantine);
-  pwhand_free(w->docsend);
+  pwdocsend_free(w->docsend);
   pwfleet_free(w->targets);
   pwzones_free(&w->evacuated);
-  pwrolltold_free(&w->rollouts);
+  pwrollwire_free(&w->rollouts);
   free(w->table.table.data);
   free(w);
 }
@@ -180,7 +180,7 @@
   to->suspects_sent_at = now;
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news change) {
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change change) {
   const pw_watch *w = arg;
   if (change == PWQUAR_BEGUN || change == PWQUAR_RELEASED)
     pwlog(LOG_WARNING, change == PWQUAR_BEGUN ? "quarantined" : "released",
@@ -244,7 +244,7 @@
   to->table_asked_at = 0;
   send_notice(w, to, &n, now);
   pwpace_take(&w->bulk_pace, n.table.len, now);
-  pwcount_add(w->p->counters, PWC_TABLES_TOLD, 1);
+  pwcount_add(w->p->counters, PWC_TABLES_SENT, 1);
   pwcount_add(w->p->counters, PWC_TABLES_BYTES, (int64_t)n.table.len);
 }
 
@@ -280,23 +280,24 @@
       one->is_lost = 1;
 }
 
-static void queue_for_control(pw_watch *w, const pw_tidings *t) {
+static void queue_for_control(pw_watch *w, const pw_target_update *t) {
   if (pwoutbox_add(&w->to_control, t) != 0)
     mark_lost(w, 1);
 }
 
-static void note_change(pw_watch *w, const pw_beat *b, pw_fleet_news change,
-                        int is_own, int64_t received_at) {
-  pw_tidings t = {.beat = *b,
-                  .gone = change == PWFLEET_GONE,
-                  .silent = change == PWFLEET_SILENT,
-                  .is_change = change > PWFLEET_RENEWED,
-                  .is_own = is_own,
-                  .received_at = received_at};
+static void note_change(pw_watch *w, const pw_heartbeat *b,
+                        pw_fleet_change change, int is_own,
+                        int64_t received_at) {
+  pw_target_update t = {.beat = *b,
+                        .gone = change == PWFLEET_GONE,
+                        .silent = change == PWFLEET_SILENT,
+                        .is_change = change > PWFLEET_RENEWED,
+                        .is_own = is_own,
+                        .received_at = received_at};
   if (change == PWFLEET_RESTARTED)
     pwcount_add(w->p->counters, PWC_RESTARTS, 1);
   if (t.is_change)
-    pwlog(LOG_NOTICE, pwfleet_news_name(change),
+    pwlog(LOG_NOTICE, pwfleet_change_name(change),
           "target=%s born=%llu service=%s address=%s", b->id,
           (unsigned long long)b->born, b->service, b->address);
   if (is_own)
@@ -315,40 +316,41 @@
 
 /* Forwards another instance's update that a target leaves or has gone: that
 ** instance may stop before all have received it. */
-static void forward_end(pw_watch *w, const pw_beat *b, pw_fleet_news change,
-                        int64_t received_at) {
-  pw_tidings t = {.beat = *b,
-                  .gone = change == PWFLEET_GONE,
-                  .is_change = 1,
-                  .received_at = received_at};
+static void forward_end(pw_watch *w, const pw_heartbeat *b,
+                        pw_fleet_change change, int64_t received_at) {
+  pw_target_update t = {.beat = *b,
+                        .gone = change == PWFLEET_GONE,
+                        .is_change = 1,
+                        .received_at = received_at};
   if (w->mesh->is_member)
     queue_for_control(w, &t);
 }
 
 /* The incarnation that ends. Where the target does not name it, a member of
 ** the group takes the one that it knows. */
-static uint64_t ended_incarnation(const pw_watch *w, const pw_beat *b) {
+static uint64_t ended_incarnation(const pw_watch *w, const pw_heartbeat *b) {
   return b->born || !w->mesh->is_member ? b->born
                                         : pwfleet_find(w->targets, b->id)->born;
 }
 
 /* Sends the end of a target each time that the target reports it, since the
 ** update before may have been lost. */
-static void note_end(pw_watch *w, const pw_beat *b, pw_fleet_news change,
+static void note_end(pw_watch *w, const pw_heartbeat *b, pw_fleet_change change,
                      int64_t now) {
-  pw_tidings t = {.beat = *b, .gone = 1, .is_own = 1, .received_at = now};
+  pw_target_update t = {.beat = *b, .gone = 1, .is_own = 1, .received_at = now};
   t.beat.born = ended_incarnation(w, b);
-  if (change == PWFLEET_OLD)
+  if (change == PWFLEET_UNCHANGED)
     queue_for_control(w, &t);
   else
     note_change(w, &t.beat, change, 1, now);
 }
 
-uint64_t pwwatch_beat(pw_watch *w, const pw_beat *b, int gone, int64_t now) {
-  pw_fleet_news change = pwfleet_beat(w->targets, b, gone, now);
+uint64_t pwwatch_beat(pw_watch *w, const pw_heartbeat *b, int gone,
+                      int64_t now) {
+  pw_fleet_change change = pwfleet_heartbeat(w->targets, b, gone, now);
   if (gone)
     note_end(w, b, change, now);
-  else if (change != PWFLEET_OLD)
+  else if (change != PWFLEET_UNCHANGED)
     note_change(w, b, change, 1, now);
   if ((!gone && !b->leaving) || !has_control_watcher(w))
     return 0;
@@ -358,13 +360,13 @@
 
 static void on_silent(void *arg, pw_target *t, int forgotten) {
   pw_watch *w = arg;
-  pw_beat b;
+  pw_heartbeat b;
   int64_t now = pwclock_ms();
   if (forgotten) {
     pwlog(LOG_NOTICE, "target-forgotten", "target=%s", t->id);
     return;
   }
-  pwfleet_beat_of(t, &b);
+  pwfleet_to_heartbeat(t, &b);
   note_change(w, &b, PWFLEET_SILENT, 0, now);
 }
 
@@ -379,19 +381,19 @@
 ** heartbeats of all. */
 static void on_update(void *arg, const Pw__Beat *beat) {
   const update_source *in = arg;
-  pw_beat b;
+  pw_heartbeat b;
   if (beat->silent)
     return;
   pwtable_unpack(beat, &b);
   int64_t received_at = in->now - beat->age;
-  pw_fleet_news change =
+  pw_fleet_change change =
       pwtable_is_renewal(beat)
           ? pwfleet_renew(in->w->targets, b.id, b.born, b.seq, received_at)
-          : pwfleet_beat(in->w->targets, &b, beat->gone, received_at);
+          : pwfleet_heartbeat(in->w->targets, &b, beat->gone, received_at);
   if (pwtable_is_renewal(beat) && !pwfleet_knows(in->w->targets, b.id, b.born))
-    pwpeers_ask_all(in->w->peers, in->from);
+    pwpeers_request_all(in->w->peers, in->from);
   if (change == PWFLEET_BACK) /* a renewal does not contain all fields */
-    pwfleet_beat_of(pwfleet_find(in->w->targets, b.id), &b);
+    pwfleet_to_heartbeat(pwfleet_find(in->w->targets, b.id), &b);
   if (change >= PWFLEET_JOINED)
     note_change(in->w, &b, change, 0, received_at);
   if (change == PWFLEET_LEAVING || change == PWFLEET_GONE)
@@ -403,7 +405,7 @@
 static watcher *watcher_of(pw_watch *w, const pw_peer *from,
                            uint64_t incarnation) {
   for (watcher *one = w->watchers; one; one = one->next)
-    if (pwwire_same(&one->peer, from) && one->incarnation == incarnation)
+    if (pwwire_same_peer(&one->peer, from) && one->incarnation == incarnation)
       return one;
   return NULL;
 }
@@ -483,17 +485,17 @@
   if (!one)
     one = add_watcher(w, from, e);
   one->received_at = now;
-  pwpeers_watched(w->peers, m, now);
+  pwpeers_on_watch(w->peers, m, now);
   int is_new_primary = m->primary && !one->is_primary;
   one->is_primary = m->primary;
-  pwsuspects_take(w->quarantine, m->suspects, m->n_suspects, now, on_suspect,
-                  w);
+  pwsuspects_receive(w->quarantine, m->suspects, m->n_suspects, now, on_suspect,
+                     w);
   if (is_new_primary)
     one->table_asked_at = now;
   else if (!m->primary)
     one->table_asked_at = 0;
   if (one->gossip[0])
-    pwhand_watch(w->docsend, from, e->incarnation, m, now);
+    pwdocsend_watch(w->docsend, from, e->incarnation, m, now);
 }
 
 void pwwatch_message(pw_watch *w, const pw_peer *from, const Pw__Envelope *e,
@@ -503,14 +505,14 @@
     on_watch(w, from, e, now);
   } else if (e->body_case == PW__ENVELOPE__BODY_NOTICE) {
     pwtable_read(e->notice, on_update, &in);
-    pwpeers_told(w->peers, from, e, now);
-    pwsuspects_take(w->quarantine, e->notice->suspects, e->notice->n_suspects,
-                    now, on_suspect, w);
+    pwpeers_on_notice(w->peers, from, e, now);
+    pwsuspects_receive(w->quarantine, e->notice->suspects,
+                       e->notice->n_suspects, now, on_suspect, w);
   }
 }
 
-void pwwatch_excuse(pw_watch *w, int64_t ms) {
-  pwfleet_excuse(w->targets, ms);
+void pwwatch_discount_stall(pw_watch *w, int64_t ms) {
+  pwfleet_discount_stall(w->targets, ms);
   for (watcher *one = w->watchers; one; one = one->next)
     one->received_at += ms;
 }
@@ -526,7 +528,7 @@
     *at = one->next;
     w->nwatchers--;
     note_gateway_change(w, one);
-    pwhand_drop(w->docsend, &one->peer, one->incarnation);
+    pwdocsend_drop(w->docsend, &one->peer, one->incarnation);
     free(one);
   }
 }
@@ -538,12 +540,12 @@
   pwmesh_group(w->mesh, addr, n, is_member, now);
 }
 
-uint64_t pwwatch_held(const pw_watch *w) {
-  return pwmesh_held(w->mesh);
+uint64_t pwwatch_replicated_seq(const pw_watch *w) {
+  return pwmesh_replicated_seq(w->mesh);
 }
 
-int pwwatch_is_heard(const pw_watch *w, int64_t now) {
-  return w->mesh->is_member || pwmesh_is_heard(w->mesh, now);
+int pwwatch_is_connected(const pw_watch *w, int64_t now) {
+  return w->mesh->is_member || pwmesh_is_watched(w->mesh, now);
 }
 
 json_t *pwwatch_observers_json(const pw_watch *w) {
@@ -574,16 +576,16 @@
   return one->is_primary ? TO_PRIMARY_GATEWAYS : TO_OTHER_GATEWAYS;
 }
 
-static int concerns_all(const pw_tidings *t) {
+static int concerns_all(const pw_target_update *t) {
   (void)t;
   return 1;
 }
 
-static int is_local_end(const pw_tidings *t) {
+static int is_local_end(const pw_target_update *t) {
   return t->is_own && (t->gone || t->beat.leaving);
 }
 
-static int concerns_none(const pw_tidings *t) {
+static int concerns_none(const pw_target_update *t) {
   (void)t;
   return 0;
 }
@@ -595,7 +597,7 @@
          to->announced_revision != w->evacuated.revision;
 }
 
-static void send_due_notice(pw_watch *w, watcher *to, const pw_bundle *b,
+static void send_due_notice(pw_watch *w, watcher *to, const pw_outbox_batch *b,
                             int64_t now) {
   Pw__Notice n = b->notice;
   n.confirm = audience_of(to) == TO_CONTROL && w->must_confirm;
@@ -604,7 +606,7 @@
     send_notice(w, to, &n, now);
 }
 
-static void notify_each(pw_watch *w, audience to, const pw_bundle *b,
+static void notify_each(pw_watch *w, audience to, const pw_outbox_batch *b,
                         int64_t now) {
   for (watcher *one = w->watchers; one; one = one->next)
     if (audience_of(one) == to)
@@ -612,13 +614,14 @@
 }
 
 static void notify_audience(pw_watch *w, audience to, const pw_outbox *from,
-                            int (*concerns)(const pw_tidings *t), int64_t now) {
-  pw_bundle b;
-  pwbundle_make(&b, from, concerns, now);
+                            int (*concerns)(const pw_target_update *t),
+                            int64_t now) {
+  pw_outbox_batch b;
+  pwoutbox_make_batch(&b, from, concerns, now);
   if (to == TO_CONTROL && b.n)
     w->last_seq++;
   notify_each(w, to, &b, now);
-  pwbundle_free(&b);
+  pwoutbox_free_batch(&b);
 }
 
 static int any_lacks_versions(const pw_watch *w) {
@@ -636,14 +639,14 @@
     return;
   notify_audience(w, TO_CONTROL, &w->to_control, concerns_all, now);
   notify_audience(w, TO_OBSERVERS, &w->to_control, concerns_none, now);
-  pwoutbox_told(&w->to_control, now);
+  pwoutbox_sent(&w->to_control, now);
   w->must_confirm = 0;
 }
 
 /* Announces a newer configuration, or changed evacuations or rollouts, to
 ** the gateways that do not know of it. */
 static void notify_versions(pw_watch *w, int64_t now) {
-  if (now - w->versions_sent_at < pwgather_versions_ms(w->nwatchers) ||
+  if (now - w->versions_sent_at < pwcoalesce_versions_ms(w->nwatchers) ||
       !any_lacks_versions(w))
     return;
   w->versions_sent_at = now;
@@ -665,21 +668,21 @@
 ** for a while. */
 static void notify_gateways(pw_watch *w, int64_t now) {
   int primary = count_primary(w);
-  int64_t batch_ms = pwgather_targets_ms(primary, w->nwatchers - primary);
+  int64_t batch_ms = pwcoalesce_targets_ms(primary, w->nwatchers - primary);
   int64_t renewal_ms = batch_ms > RENEWAL_MS ? batch_ms : RENEWAL_MS;
   if (!pwoutbox_is_due(&w->to_gateways, batch_ms, renewal_ms, now))
     return;
   notify_audience(w, TO_PRIMARY_GATEWAYS, &w->to_gateways, concerns_all, now);
   notify_audience(w, TO_OTHER_GATEWAYS, &w->to_gateways, is_local_end, now);
-  pwoutbox_told(&w->to_gateways, now);
+  pwoutbox_sent(&w->to_gateways, now);
 }
 
 static void update_metrics(pw_watch *w, int64_t now) {
   pw_counters *c = w->p->counters;
-  int isolated = !pwwatch_is_heard(w, now);
+  int isolated = !pwwatch_is_connected(w, now);
   pwcount_set(c, PWC_QUARANTINED, pwquar_count(w->quarantine));
   pwcount_set(c, PWC_OBSERVERS, pwmesh_observers(w->mesh));
-  pwcount_set(c, PWC_UNHEARD, isolated);
+  pwcount_set(c, PWC_ISOLATED, isolated);
   if (isolated != w->is_isolated)
     pwlog(isolated ? LOG_WARNING : LOG_NOTICE, isolated ? "unheard" : "heard",
           "control_instances=%d", w->mesh->n);
@@ -690,13 +693,13 @@
   w->in_touch = in_touch;
   w->leads = leads;
   pwzones_read(&w->evacuated, w->resources);
-  pwrolltold_read(&w->rollouts, w->resources);
+  pwrollwire_read(&w->rollouts, w->resources);
   drop_lost(w, now);
   pwquar_tick(w->quarantine, now);
   update_metrics(w, now);
   pwpeers_tick(w->peers, now);
   pwfleet_tick(w->targets, now, on_silent, w);
-  pwhand_serve(w->docsend, &w->bulk_pace, now);
+  pwdocsend_serve(w->docsend, &w->bulk_pace, now);
   send_tables(w, now);
   notify_control(w, now);
   notify_versions(w, now);
--- a/packages/control/pwwatch.h
+++ b/packages/control/pwwatch.h
@@ -28,17 +28,18 @@
                      int64_t now);
 
 /* Takes a heartbeat that was received here. If the target leaves or has
-** gone, the heartbeat may be acknowledged once pwwatch_held reaches the
+** gone, the heartbeat may be acknowledged once pwwatch_replicated_seq reaches the
 ** number that is returned; 0: at once. */
-uint64_t pwwatch_beat(pw_watch *w, const pw_beat *b, int gone, int64_t now);
+uint64_t pwwatch_beat(pw_watch *w, const pw_heartbeat *b, int gone,
+                      int64_t now);
 
 /* The number of the last update that, with all before it, another control
 ** instance has confirmed. */
-uint64_t pwwatch_held(const pw_watch *w);
+uint64_t pwwatch_replicated_seq(const pw_watch *w);
 
 /* Whether heartbeats that are received here reach the group: this instance
 ** is a member, or members receive its updates. */
-int pwwatch_is_heard(const pw_watch *w, int64_t now);
+int pwwatch_is_connected(const pw_watch *w, int64_t now);
 
 /* Whether a target of that availability zone is known; and the names of all
 ** availability zones with targets, new reference. */
@@ -64,7 +65,7 @@
 
 /* This process was stalled for `ms` and received nothing: that time does not
 ** count as silence of targets or gateways. */
-void pwwatch_excuse(pw_watch *w, int64_t ms);
+void pwwatch_discount_stall(pw_watch *w, int64_t ms);
 
 /* Sends the Notices that are due. `in_touch`: there is contact with a
 ** leader; `leads`: this instance is the leader. */
--- a/packages/control/pwzones.c
+++ b/packages/control/pwzones.c
@@ -46,7 +46,7 @@
   if (z->revision == revision)
     return;
   for (const pw_resource *one = pwres_first(resources); one; one = one->next)
-    if (pwres_is(one, PW_KIND_EVACUATION))
+    if (pwres_is_live(one, PW_KIND_EVACUATION))
       add(&now, one->name);
   log_added(&now, z, "evacuation");
   z->revision = revision;
--- a/packages/core/pwclock.c
+++ b/packages/core/pwclock.c
@@ -37,7 +37,7 @@
   return stamp;
 }
 
-void pwhlc_see(pw_hlc *h, uint64_t stamp) {
+void pwhlc_update(pw_hlc *h, uint64_t stamp) {
   pthread_mutex_lock(&h->lock);
   if (stamp > h->last)
     h->last = stamp;
--- a/packages/core/pwclock.h
+++ b/packages/core/pwclock.h
@@ -27,6 +27,6 @@
 uint64_t pwhlc_tick(pw_hlc *h, int64_t wall_ms);
 
 /* Advances the clock to a stamp received in a message. */
-void pwhlc_see(pw_hlc *h, uint64_t stamp);
+void pwhlc_update(pw_hlc *h, uint64_t stamp);
 
 #endif
--- a/packages/core/pwcode.h
+++ b/packages/core/pwcode.h
@@ -36,7 +36,7 @@
     "the target refused an order or could not carry it out")                   \
   X(PW_E_QUARANTINED, 2012, 503, "quarantined",                                \
     "targets ended while they ran this request: it is not sent to another")    \
-  X(PW_E_HELD_OFF, 2013, 503, "held-off",                                      \
+  X(PW_E_HOLD_OFF, 2013, 503, "held-off",                                      \
     "all targets have asked to be left alone for a while")                     \
   X(PW_E_CUT, 3001, 502, "answer-cut", "the answer broke off")                 \
   X(PW_E_UPSTREAM, 3002, 502, "bad-upstream", "the target's answer is bad")    \
@@ -64,7 +64,7 @@
     "the once-ledger was lost: what ran before is not known")                  \
   X(PW_E_ZONE, 4013, 422, "unknown-az",                                        \
     "no target is known in this availability zone, and no setting names it")   \
-  X(PW_E_UNHEARD, 4014, 503, "unheard",                                        \
+  X(PW_E_ISOLATED, 4014, 503, "unheard",                                       \
     "no other control instance hears this one: turn to another")               \
   X(PW_E_TOO_MANY, 4015, 422, "too-many",                                      \
     "as many of these are kept as may be")                                     \
--- a/packages/core/pwcount.h
+++ b/packages/core/pwcount.h
@@ -72,7 +72,7 @@
   X(PWC_DATA_IN, "data_received_bytes_total", "counter",                       \
     "request and answer bytes received")                                       \
   X(PWC_ORDERS, "orders_total", "counter", "orders given to targets")          \
-  X(PWC_TABLES_TOLD, "tables_told_total", "counter",                           \
+  X(PWC_TABLES_SENT, "tables_told_total", "counter",                           \
     "times that a watcher was told all targets")                               \
   X(PWC_TABLES_BYTES, "tables_told_bytes_total", "counter",                    \
     "bytes of these tables")                                                   \
@@ -92,13 +92,13 @@
     "heartbeats that are no JSON object")                                      \
   X(PWC_OBSERVERS, "control_observers", "gauge",                               \
     "control instances outside of the group that are known here")              \
-  X(PWC_UNHEARD, "control_unheard", "gauge",                                   \
+  X(PWC_ISOLATED, "control_unheard", "gauge",                                  \
     "1: outside of the group, and no other control instance hears this one")   \
   X(PWC_LEAVES_ALONE, "leaves_alone_total", "counter",                         \
     "targets that leave and were answered while no other instance had it")     \
-  X(PWC_TELLINGS_LOST, "tellings_lost_total", "counter",                       \
+  X(PWC_UPDATES_LOST, "tellings_lost_total", "counter",                        \
     "times that news of another control instance were found missing")          \
-  X(PWC_ENDED_UNDER, "ended_under_total", "counter",                           \
+  X(PWC_CRASHED_UNDER, "ended_under_total", "counter",                         \
     "targets that ended while they had a request, as seen or told")            \
   X(PWC_QUARANTINED, "quarantined", "gauge",                                   \
     "requests in quarantine: targets ended under them")                        \
@@ -124,11 +124,11 @@
   X(PWC_GW_FULL, "gateway_full_total", "counter",                              \
     "requests refused because all places were taken")                          \
   X(PWC_GW_CLIENTS, "gateway_clients", "gauge", "callers' connections open")   \
-  X(PWC_GW_HELD, "gateway_held_bytes", "gauge",                                \
+  X(PWC_GW_BUFFERED, "gateway_held_bytes", "gauge",                            \
     "held for callers and targets that have not taken it")                     \
   X(PWC_GW_STALLED, "gateway_stalled_total", "counter",                        \
     "callers ended since they took nothing")                                   \
-  X(PWC_GW_LEFT_OUT, "gateway_lines_left_out", "gauge",                        \
+  X(PWC_GW_LINES_DROPPED, "gateway_lines_left_out", "gauge",                   \
     "log lines left out for want of budget")                                   \
   X(PWC_ACTIVE, "active_requests", "gauge", "requests in progress")
 
--- a/packages/core/pwlag.c
+++ b/packages/core/pwlag.c
@@ -9,9 +9,9 @@
 ** again would always be catching up and never give a peer up. */
 #define CATCH_UP_AGAIN_MS 1000
 
-int64_t pwlag_turn(pw_lag *l, int64_t now) {
+int64_t pwlag_iteration(pw_lag *l, int64_t now) {
   int64_t took = l->iteration_at ? now - l->iteration_at : 0;
-  int64_t lost = took > l->turn_ms ? took - l->turn_ms : 0;
+  int64_t lost = took > l->iteration_max_ms ? took - l->iteration_max_ms : 0;
   l->iteration_at = now;
   l->lost_ms += lost;
   if (lost > 0 && (!l->stall_end || now - l->stall_end >= CATCH_UP_AGAIN_MS))
--- a/packages/core/pwlag.h
+++ b/packages/core/pwlag.h
@@ -6,17 +6,19 @@
 
 #include <stdint.h>
 
-/* Iterations of one event loop. The owner sets turn_ms. */
+/* Iterations of one event loop. The owner sets iteration_max_ms. */
 typedef struct pw_lag {
-  int64_t turn_ms;      /* longest duration of an iteration without a stall */
+  int64_t
+      iteration_max_ms; /* longest duration of an iteration without a stall */
   int64_t iteration_at; /* when the latest iteration began, ms; 0: none did */
-  int64_t lost_ms;   /* sum of the stalls: time of iterations beyond turn_ms */
+  int64_t
+      lost_ms; /* sum of the stalls: time of iterations beyond iteration_max_ms */
   int64_t stall_end; /* end of the stall being caught up with; 0: none */
 } pw_lag;
 
 /* To be called first in each iteration. Returns the ms that the loop stalled since the previous
 ** call. */
-int64_t pwlag_turn(pw_lag *l, int64_t now);
+int64_t pwlag_iteration(pw_lag *l, int64_t now);
 
 /* Clock for timeouts of peers: `now` less all stalls. */
 int64_t pwlag_clock(const pw_lag *l, int64_t now);
--- a/packages/core/pwlimits.h
+++ b/packages/core/pwlimits.h
@@ -16,10 +16,10 @@
 
 /* Flow control between an agent and an entry: bytes of an answer that may be sent before the caller
 ** has read them. Above that the agent stops reading from the engine. */
-#define PW_WINDOW (64 * 1024)
+#define PW_STREAM_WINDOW (64 * 1024)
 
 /* Longest answer recorded in the once-ledger for replay, in bytes. */
-#define PW_RECORD_MAX 4096
+#define PW_ONCE_RECORD_MAX 4096
 
 /* How long the once-ledger remembers a key, in ms: the default of the policy's once_keep_s. */
 #define PW_ONCE_KEEP_MS (24ULL * 3600 * 1000)
@@ -53,8 +53,8 @@
 
 /* Hash slots of a pool's placement table (a power of two), and how many candidate targets each slot
 ** ranks. See docs/design/placement.md. */
-#define PW_SLOTS 131072
-#define PW_RANKS 4
+#define PW_PLACEMENT_SLOTS 131072
+#define PW_PLACEMENT_RANKS 4
 
 /* Limits per request that bound the load of retries: attempts, the first one included, and hops,
 ** which follow a refusal with proof that the request was not run. */
@@ -71,7 +71,7 @@
 ** (ms). One or two crashes also happen during harmless requests (on a bad day one target in 15
 ** crashes at once); a third is the most that users of a fleet accept. Ten minutes outlast callers
 ** that retry. */
-#define PW_QUARANTINE_ENDS 3
+#define PW_QUARANTINE_CRASHES 3
 #define PW_QUARANTINE_MS (600LL * 1000)
 
 /* Longest hold-off that a target can ask for, in ms. A longer one is cut to a day: after that the
@@ -102,7 +102,7 @@
 ** LINK_FRESH. A silent link with requests on it is pinged after LINK_ASK and given up after
 ** LINK_LOST. A new link must answer within LINK_OPEN. */
 #define PW_LINK_FRESH 2000
-#define PW_LINK_ASK 500
+#define PW_LINK_PING 500
 #define PW_LINK_LOST 3000
 #define PW_LINK_OPEN 600
 
--- a/packages/core/pwmail.c
+++ b/packages/core/pwmail.c
@@ -33,14 +33,14 @@
   free(m);
 }
 
-void pwmail_leave(pw_mail *m, pw_mail_item *item) {
+void pwmail_post_nowake(pw_mail *m, pw_mail_item *item) {
   struct cds_wfcq_node *node = (struct cds_wfcq_node *)item;
   cds_wfcq_node_init(node);
   cds_wfcq_enqueue(&m->head, &m->tail, node);
 }
 
 void pwmail_post(pw_mail *m, pw_mail_item *item) {
-  pwmail_leave(m, item);
+  pwmail_post_nowake(m, item);
   uint64_t one = 1;
   ssize_t done = write(m->fd, &one, sizeof one);
   (void)done;
--- a/packages/core/pwmail.h
+++ b/packages/core/pwmail.h
@@ -17,7 +17,7 @@
 
 /* Posts an item without waking the owner, which finds it when it next takes items; for work that is
 ** not urgent. */
-void pwmail_leave(pw_mail *m, pw_mail_item *item);
+void pwmail_post_nowake(pw_mail *m, pw_mail_item *item);
 
 /* Takes the oldest item; NULL: empty. Only one thread may take items. */
 pw_mail_item *pwmail_take(pw_mail *m);
--- a/packages/core/pwtrace.c
+++ b/packages/core/pwtrace.c
@@ -85,7 +85,7 @@
 static int has_room(const pw_trace *t, pw_trace_kind kind) {
   if (t->out.len - t->out_at + 2 * LINE_BYTES > PENDING_BYTES)
     return 0;
-  double keep = kind == PWTRACE_WELL ? t->rate * (1 - ROUTINE_SHARE) : 0;
+  double keep = kind == PWTRACE_ROUTINE ? t->rate * (1 - ROUTINE_SHARE) : 0;
   return t->left - LINE_BYTES > keep;
 }
 
--- a/packages/core/pwtrace.h
+++ b/packages/core/pwtrace.h
@@ -9,8 +9,8 @@
 #include <stdint.h>
 
 typedef enum pw_trace_kind {
-  PWTRACE_WELL, /* a step of a request without a failure */
-  PWTRACE_FAIL, /* a request was refused, retried or aborted */
+  PWTRACE_ROUTINE, /* a step of a request without a failure */
+  PWTRACE_FAIL,    /* a request was refused, retried or aborted */
   PWTRACE_STATE /* a change in what the process knows, such as the health of a target */
 } pw_trace_kind;
 
--- a/packages/daemon/pwassign.c
+++ b/packages/daemon/pwassign.c
@@ -84,16 +84,17 @@
   return spec;
 }
 
-void pwassign_pool(char out[PWASSIGN_POOL], const char *model,
-                   const char *version) {
-  snprintf(out, PWASSIGN_POOL, version[0] ? "%s@%s" : "%s", model, version);
+void pwassign_pool_name(char out[PWASSIGN_POOL_BYTES], const char *model,
+                        const char *version) {
+  snprintf(out, PWASSIGN_POOL_BYTES, version[0] ? "%s@%s" : "%s", model,
+           version);
 }
 
-void pwassign_pools(const pw_assignment *a, const json_t *models,
-                    void (*add)(void *arg, const char *pool), void *arg) {
+void pwassign_each_pool(const pw_assignment *a, const json_t *models,
+                        void (*add)(void *arg, const char *pool), void *arg) {
   size_t i;
   const json_t *name;
-  char pool[PWASSIGN_POOL];
+  char pool[PWASSIGN_POOL_BYTES];
   json_array_foreach(models, i, name) {
     const char *model = json_string_value(name);
     if (!model)
@@ -101,12 +102,12 @@
     const pw_assigned *m = pwassign_model((pw_assignment *)a, model);
     if (m && !m->has_serve)
       continue;
-    pwassign_pool(pool, model, m ? m->serve : "");
+    pwassign_pool_name(pool, model, m ? m->serve : "");
     add(arg, pool);
   }
 }
 
-int pwassign_rollout(const pw_res *r, const char *model, pw_rollout *out) {
+int pwassign_read_rollout(const pw_res *r, const char *model, pw_rollout *out) {
   const pw_resource *one = pwres_get(r, "rollout", model);
   *out = (pw_rollout){.share = 100};
   if (!one)
--- a/packages/daemon/pwassign.h
+++ b/packages/daemon/pwassign.h
@@ -12,9 +12,9 @@
 
 #include <jansson.h>
 
-#define PWASSIGN_MODELS 16              /* models of a target, at most */
-#define PWASSIGN_ADAPTERS 16            /* adapters of a model, at most */
-#define PWASSIGN_POOL (2 * PW_NAME_MAX) /* bytes of a pool's name */
+#define PWASSIGN_MODELS 16                    /* models of a target, at most */
+#define PWASSIGN_ADAPTERS 16                  /* adapters of a model, at most */
+#define PWASSIGN_POOL_BYTES (2 * PW_NAME_MAX) /* bytes of a pool's name */
 
 /* What an assignment says about one model. */
 typedef struct pw_assigned {
@@ -52,15 +52,15 @@
 json_t *pwassign_json(const pw_assignment *a);
 
 /* Writes the name of the pool of targets that serve a version of a model. */
-void pwassign_pool(char out[PWASSIGN_POOL], const char *model,
-                   const char *version);
+void pwassign_pool_name(char out[PWASSIGN_POOL_BYTES], const char *model,
+                        const char *version);
 
 /* Calls `add` for each pool to which a target with these `models` belongs. */
-void pwassign_pools(const pw_assignment *a, const json_t *models,
-                    void (*add)(void *arg, const char *pool), void *arg);
+void pwassign_each_pool(const pw_assignment *a, const json_t *models,
+                        void (*add)(void *arg, const char *pool), void *arg);
 
 /* Reads a model's rollout. Returns 0 when there is none. */
-int pwassign_rollout(const pw_res *r, const char *model, pw_rollout *out);
+int pwassign_read_rollout(const pw_res *r, const char *model, pw_rollout *out);
 
 /* Returns the spec of a rollout as a new reference. */
 json_t *pwassign_rollout_json(const pw_rollout *r);
--- a/packages/daemon/pwfeed.c
+++ b/packages/daemon/pwfeed.c
@@ -156,7 +156,7 @@
   c->entries = h->entries;
   c->clock = h->clock;
   c->stopping = h->stopping;
-  c->heard = now;
+  c->last_hello_at = now;
   send_welcome(f, c, st, pools, npools, now);
 }
 
@@ -167,9 +167,9 @@
       send_welcome(f, c, st, NULL, 0, now);
 }
 
-void pwfeed_excuse(pw_feed *f, int64_t ms) {
+void pwfeed_discount_stall(pw_feed *f, int64_t ms) {
   for (pw_child *c = f->children; c; c = c->next)
-    c->heard += ms;
+    c->last_hello_at += ms;
 }
 
 void pwfeed_expire(pw_feed *f, void (*left)(void *arg, const pw_child *c),
@@ -177,8 +177,8 @@
   pw_child **at = &f->children;
   while (*at) {
     pw_child *c = *at;
-    int done = c->stopping && now - c->heard > PW_PARENT_LOST;
-    if (now - c->heard <= PW_CHILD_KEEP && !done) {
+    int done = c->stopping && now - c->last_hello_at > PW_PARENT_LOST;
+    if (now - c->last_hello_at <= PW_CHILD_KEEP && !done) {
       at = &c->next;
       continue;
     }
@@ -198,13 +198,13 @@
   json_t *list = json_array();
   for (const pw_child *c = f->children; c; c = c->next)
     json_array_append_new(
-        list,
-        json_pack("{s:s,s:s,s:s,s:s,s:I,s:I,s:i,s:I,s:b}", "name", c->name,
-                  "role", c->role, "availability_zone", c->availability_zone,
-                  "http", c->http, "revision", (json_int_t)c->revision,
-                  "below_revision", (json_int_t)c->below_revision, "below",
-                  (int)c->below, "silent_ms", (json_int_t)(now - c->heard),
-                  "stopping", c->stopping));
+        list, json_pack("{s:s,s:s,s:s,s:s,s:I,s:I,s:i,s:I,s:b}", "name",
+                        c->name, "role", c->role, "availability_zone",
+                        c->availability_zone, "http", c->http, "revision",
+                        (json_int_t)c->revision, "below_revision",
+                        (json_int_t)c->below_revision, "below", (int)c->below,
+                        "silent_ms", (json_int_t)(now - c->last_hello_at),
+                        "stopping", c->stopping));
   return list;
 }
 
--- a/packages/daemon/pwfeed.h
+++ b/packages/daemon/pwfeed.h
@@ -27,7 +27,7 @@
   uint32_t below;          /* number of these processes */
   uint32_t entries;        /* entries among them */
   int64_t clock;           /* its clock, which the Welcome returns to it */
-  int64_t heard;           /* time of its last Hello, ms */
+  int64_t last_hello_at;   /* time of its last Hello, ms */
   int stopping;            /* it is about to end */
   struct pw_child *next;
 } pw_child;
@@ -61,7 +61,7 @@
 
 /* Discounts a stall of this process of `ms`: it could receive nothing, so this
 ** time does not count as the children's silence. */
-void pwfeed_excuse(pw_feed *f, int64_t ms);
+void pwfeed_discount_stall(pw_feed *f, int64_t ms);
 
 /* Drops children that have been silent for PW_CHILD_KEEP, and stopping ones after
 ** PW_PARENT_LOST. Calls `left` for each before it is freed. */
--- a/packages/daemon/pwproc.c
+++ b/packages/daemon/pwproc.c
@@ -105,11 +105,11 @@
                    const char *outcome, uint32_t retry_ms) {
   char number[16];
   snprintf(number, sizeof number, "%d", (int)code);
-  pwserve_add(h, "Peatwell-Code", number);
-  pwserve_add(h, "Peatwell-Outcome", outcome);
+  pwserve_add_header(h, "Peatwell-Code", number);
+  pwserve_add_header(h, "Peatwell-Outcome", outcome);
   if (retry_ms) {
     snprintf(number, sizeof number, "%u", (retry_ms + 999) / 1000);
-    pwserve_add(h, "Retry-After", number);
+    pwserve_add_header(h, "Retry-After", number);
   }
   const char *text = message && message[0] ? message : pwcode_text(code);
   pwproc_json(h, pwcode_http(code),
--- a/packages/daemon/pwsub.c
+++ b/packages/daemon/pwsub.c
@@ -31,8 +31,8 @@
   int64_t interval;     /* of Hellos, ms */
   int64_t welcomed;     /* when the parent last answered */
   int64_t since;        /* when this parent was chosen */
-  int64_t as_of;        /* see pwsub_asked_at */
-  int64_t confirmed_at; /* see pwsub_told_at */
+  int64_t as_of;        /* see pwsub_as_of */
+  int64_t confirmed_at; /* see pwsub_confirmed_at */
   int64_t same_since;   /* when parent or leader last changed */
   uint64_t parent_incarnation;
   int64_t contact_at; /* time of the last certain contact with a leader */
@@ -88,7 +88,7 @@
 static void move_to(pw_sub *s, int at, int64_t now) {
   parent *old = &s->parents[s->at];
   if (old->dialled) {
-    pwwire_hang_up(s->sock, old->addr);
+    pwwire_disconnect(s->sock, old->addr);
     old->dialled = 0;
   }
   s->at = at;
@@ -97,11 +97,11 @@
   s->hello_at = INT64_MIN / 2;
 }
 
-int pwsub_due(const pw_sub *s, int64_t now) {
+int pwsub_hello_due(const pw_sub *s, int64_t now) {
   return s->n > 0 && now - s->hello_at >= s->interval;
 }
 
-void pwsub_hurry(pw_sub *s) {
+void pwsub_hello_now(pw_sub *s) {
   s->hello_at = INT64_MIN / 2;
 }
 
@@ -112,13 +112,13 @@
   return pwwire_send(s->sock, &to->peer, e);
 }
 
-int pwsub_to_leader(pw_sub *s, Pw__Envelope *e) {
+int pwsub_send_to_leader(pw_sub *s, Pw__Envelope *e) {
   const char *addr = s->leader_wire;
   if (!addr[0] || !strcmp(addr, s->parents[s->at].addr))
     return send_to_parent(s, e);
   if (strcmp(addr, s->leader.addr) != 0) {
     if (s->leader.dialled)
-      pwwire_hang_up(s->sock, s->leader.addr);
+      pwwire_disconnect(s->sock, s->leader.addr);
     pw_copy(s->leader.addr, ADDR_MAX, addr);
     s->leader.dialled =
         pwwire_dial(s->sock, s->leader.addr, &s->leader.peer) == 0;
@@ -206,7 +206,7 @@
 int pwsub_welcome(pw_sub *s, const pw_peer *from, const Pw__Envelope *e,
                   int64_t now) {
   const Pw__Welcome *w = e->welcome;
-  if (!s->n || !pwwire_same(from, &s->parents[s->at].peer))
+  if (!s->n || !pwwire_same_peer(from, &s->parents[s->at].peer))
     return 0;
   if (!is_own_group(s, w->group) || w->term < s->term)
     return 0;
@@ -223,7 +223,7 @@
   int merged = pwres_merge(s->res, w->full, w->since, w->revision, w->resources,
                            w->n_resources);
   if (merged < 0)
-    pwsub_hurry(s);
+    pwsub_hello_now(s);
   if (pwres_revision(s->res) >= w->revision) {
     s->caught_up |= w->touch_age != UINT32_MAX;
     note_contact(s, w, now);
@@ -234,11 +234,11 @@
   pwevent_add(s->p->events, PWE_REVISION, 0, NULL, NULL, NULL,
               "revision=%llu resources=%zu%s", (unsigned long long)w->revision,
               w->n_resources, w->full ? " full" : "");
-  pwsub_hurry(s);
+  pwsub_hello_now(s);
   return 1;
 }
 
-int64_t pwsub_touch_age(const pw_sub *s, int64_t now) {
+int64_t pwsub_contact_age(const pw_sub *s, int64_t now) {
   return s->contact_at < 0 ? -1 : now - s->contact_at;
 }
 
@@ -253,11 +253,11 @@
   return s->caught_up && (s->has_contact || s->serve_cut_off);
 }
 
-int64_t pwsub_asked_at(const pw_sub *s) {
+int64_t pwsub_as_of(const pw_sub *s) {
   return s->as_of;
 }
 
-int64_t pwsub_told_at(const pw_sub *s) {
+int64_t pwsub_confirmed_at(const pw_sub *s) {
   return s->confirmed_at;
 }
 
--- a/packages/daemon/pwsub.h
+++ b/packages/daemon/pwsub.h
@@ -21,7 +21,7 @@
 const pw_res *pwsub_resources(const pw_sub *s);
 
 /* Whether the next Hello is due. */
-int pwsub_due(const pw_sub *s, int64_t now);
+int pwsub_hello_due(const pw_sub *s, int64_t now);
 
 /* Sets the revision and clock of a Hello that the caller filled, and sends it.
 ** Changes to the next parent first when the current one is silent. */
@@ -32,30 +32,30 @@
                   int64_t now);
 
 /* Makes the next Hello due at once. */
-void pwsub_hurry(pw_sub *s);
+void pwsub_hello_now(pw_sub *s);
 
 /* Whether this process may accept requests: it has had the complete configuration
 ** once, and has contact with a leader or may serve without. */
 int pwsub_may_serve(pw_sub *s, int64_t now);
 
 /* Time in ms since the last certain contact with a leader; -1: there was none. */
-int64_t pwsub_touch_age(const pw_sub *s, int64_t now);
+int64_t pwsub_contact_age(const pw_sub *s, int64_t now);
 
 /* Sends a message to the control leader, over a connection of its own when the
 ** leader is not the parent. -1 when no leader is known or the message was not
 ** sent. */
-int pwsub_to_leader(pw_sub *s, Pw__Envelope *e);
+int pwsub_send_to_leader(pw_sub *s, Pw__Envelope *e);
 
 /* Wire address of the leader; "" when it is not known. */
 const char *pwsub_leader_wire(const pw_sub *s);
 
 /* Time of the newest Hello that was answered. The contents of that Welcome are
 ** not older. */
-int64_t pwsub_asked_at(const pw_sub *s);
+int64_t pwsub_as_of(const pw_sub *s);
 
 /* Time of the newest Hello that the current parent answered under the current
 ** leader. Changes before that time need not be sent again. */
-int64_t pwsub_told_at(const pw_sub *s);
+int64_t pwsub_confirmed_at(const pw_sub *s);
 
 /* Term of the leader, id of the control group, number of entries and HTTP address
 ** of the leader, by the last Welcome. */
--- a/packages/daemon/pwsuspects.h
+++ b/packages/daemon/pwsuspects.h
@@ -16,7 +16,7 @@
 } pw_suspects;
 
 /* Fills in the requests whose state must be sent now. Returns their number. */
-size_t pwsuspects_fill(pw_suspects *s, pw_quarantine *q, int64_t now);
+size_t pwsuspects_due(pw_suspects *s, pw_quarantine *q, int64_t now);
 
 /* Fills in the next requests, from *at on, of those in quarantine or released
 ** (pwquar_list). Returns their number. */
@@ -25,10 +25,10 @@
 
 /* Applies what another instance sent. Calls `on_change` for each request whose state
 ** changed by that. */
-void pwsuspects_take(pw_quarantine *q, Pw__Suspect *const *list, size_t n,
-                     int64_t now,
-                     void (*on_change)(void *arg, uint64_t sign,
-                                       pw_quar_news change),
-                     void *arg);
+void pwsuspects_receive(pw_quarantine *q, Pw__Suspect *const *list, size_t n,
+                        int64_t now,
+                        void (*on_change)(void *arg, uint64_t fingerprint,
+                                          pw_quar_change change),
+                        void *arg);
 
 #endif
--- a/packages/daemon/pwtable.c
+++ b/packages/daemon/pwtable.c
@@ -12,7 +12,7 @@
 #define TABLE_FROM 16                /* up to so many are not compressed */
 #define TABLE_MAX (16 * 1024 * 1024) /* bytes of an unpacked table */
 
-void pwtable_pack(Pw__Beat *out, const pw_beat *b, int gone, int silent,
+void pwtable_pack(Pw__Beat *out, const pw_heartbeat *b, int gone, int silent,
                   int64_t age) {
   pw__beat__init(out);
   out->target = (char *)b->id;
@@ -30,12 +30,12 @@
   out->age = (uint32_t)(age > 0 ? age : 0);
 }
 
-void pwtable_unpack(const Pw__Beat *in, pw_beat *out) {
-  *out = (pw_beat){.born = in->born ? in->born - 1 : PW_BORN_UNTOLD,
-                   .slots = (int)in->slots,
-                   .leaving = in->leaving,
-                   .cold_ms = in->cold ? (int64_t)in->cold + in->age : 0,
-                   .seq = in->seq};
+void pwtable_unpack(const Pw__Beat *in, pw_heartbeat *out) {
+  *out = (pw_heartbeat){.born = in->born ? in->born - 1 : PW_BORN_UNKNOWN,
+                        .slots = (int)in->slots,
+                        .leaving = in->leaving,
+                        .cold_ms = in->cold ? (int64_t)in->cold + in->age : 0,
+                        .seq = in->seq};
   pw_copy(out->id, sizeof out->id, in->target);
   pw_copy(out->service, sizeof out->service, in->service);
   pw_copy(out->address, sizeof out->address, in->address);
@@ -45,7 +45,7 @@
 }
 
 /* The receiver knows the other fields from the heartbeat that is renewed. */
-void pwtable_pack_renewal(Pw__Beat *out, const pw_beat *b, int64_t age) {
+void pwtable_pack_renewal(Pw__Beat *out, const pw_heartbeat *b, int64_t age) {
   pw__beat__init(out);
   out->target = (char *)b->id;
   out->seq = b->seq;
@@ -167,12 +167,12 @@
   size_t n = 0, i = 0;
   for (pw_target *one = pwfleet_first(f); one; one = one->hh.next)
     n++;
-  pw_beat *beat = pw_alloc(sizeof *beat * (n + 1));
+  pw_heartbeat *beat = pw_alloc(sizeof *beat * (n + 1));
   Pw__Table t;
   alloc_columns(&t, n);
   for (pw_target *one = pwfleet_first(f); one; one = one->hh.next, i++) {
     Pw__Beat packed;
-    pwfleet_beat_of(one, &beat[i]);
+    pwfleet_to_heartbeat(one, &beat[i]);
     pwtable_pack(&packed, &beat[i], one->is_gone && !one->is_displaced,
                  one->is_silent, now - one->heard_at);
     put_row(&t, i, &packed);
--- a/packages/daemon/pwtable.h
+++ b/packages/daemon/pwtable.h
@@ -9,13 +9,13 @@
 
 /* Converts a heartbeat to its message, whose strings belong to `b`, and back.
 ** `age` is the heartbeat's age in ms. */
-void pwtable_pack(Pw__Beat *out, const pw_beat *b, int gone, int silent,
+void pwtable_pack(Pw__Beat *out, const pw_heartbeat *b, int gone, int silent,
                   int64_t age);
-void pwtable_unpack(const Pw__Beat *in, pw_beat *out);
+void pwtable_unpack(const Pw__Beat *in, pw_heartbeat *out);
 
 /* Packs a heartbeat that only renews the target's last one: the message has no
 ** more than id, number, start and age. */
-void pwtable_pack_renewal(Pw__Beat *out, const pw_beat *b, int64_t age);
+void pwtable_pack_renewal(Pw__Beat *out, const pw_heartbeat *b, int64_t age);
 
 /* Whether a message is a renewal. */
 int pwtable_is_renewal(const Pw__Beat *in);
--- a/packages/daemon/pwnews.c
+++ b/packages/daemon/pwtreereport.c
@@ -1,6 +1,6 @@
-/* pwnews.c: the report of a process to its parent in the distribution tree: states
+/* pwtreereport.c: the report of a process to its parent in the distribution tree: states
 ** of targets, and counts of attempts for each version. */
-#include "pwnews.h"
+#include "pwtreereport.h"
 
 #include "pwbuf.h"
 #include "pwpb.h"
@@ -39,24 +39,24 @@
   UT_hash_handle hh;
 } base_row;
 
-struct pw_news {
+struct pw_treereport {
   state_row *states;
   count_row *counts;
   base_row *bases;
   uint64_t changes;
 };
 
-pw_news *pwnews_new(void) {
-  return pw_alloc(sizeof(pw_news));
+pw_treereport *pwtreereport_new(void) {
+  return pw_alloc(sizeof(pw_treereport));
 }
 
-static void drop_state(pw_news *n, state_row *r) {
+static void drop_state(pw_treereport *n, state_row *r) {
   HASH_DEL(n->states, r);
   pw__target_state__free_unpacked(r->state, NULL);
   free(r);
 }
 
-void pwnews_free(pw_news *n) {
+void pwtreereport_free(pw_treereport *n) {
   if (!n)
     return;
   state_row *s, *stmp;
@@ -103,8 +103,8 @@
 }
 
 /* Stores a state unless a newer one is known. */
-static void store_state(pw_news *n, const Pw__TargetState *s, const char *from,
-                        int64_t at, int64_t now) {
+static void store_state(pw_treereport *n, const Pw__TargetState *s,
+                        const char *from, int64_t at, int64_t now) {
   state_row *r;
   HASH_FIND_STR(n->states, s->target, r);
   if (r && is_older(r, from, at))
@@ -125,28 +125,29 @@
   n->changes++;
 }
 
-void pwnews_child_left(pw_news *n, const pw_child *c, int64_t now) {
+void pwtreereport_child_left(pw_treereport *n, const pw_child *c, int64_t now) {
   if (!c->target[0])
     return;
   Pw__TargetState gone = PW__TARGET_STATE__INIT;
   gone.target = (char *)c->target;
   gone.gone = 1;
-  store_state(n, &gone, "", c->heard, now);
+  store_state(n, &gone, "", c->last_hello_at, now);
 }
 
-const Pw__TargetState *pwnews_target(const pw_news *n, const char *target) {
+const Pw__TargetState *pwtreereport_target(const pw_treereport *n,
+                                           const char *target) {
   const state_row *r;
   HASH_FIND_STR(n->states, target, r);
   return r ? r->state : NULL;
 }
 
-uint64_t pwnews_changes(const pw_news *n) {
+uint64_t pwtreereport_changes(const pw_treereport *n) {
   return n->changes;
 }
 
 /* --- counts of attempts --- */
 
-static count_row *count_of(pw_news *n, const char *pool) {
+static count_row *count_of(pw_treereport *n, const char *pool) {
   count_row *c;
   HASH_FIND_STR(n->counts, pool, c);
   if (c)
@@ -162,7 +163,7 @@
   return c;
 }
 
-static void add_attempts(pw_news *n, const char *pool, uint64_t done,
+static void add_attempts(pw_treereport *n, const char *pool, uint64_t done,
                          uint64_t failed, int64_t now) {
   if (!done && !failed)
     return;
@@ -172,11 +173,12 @@
   c->changed = now;
 }
 
-void pwnews_count(pw_news *n, const char *pool, int failed) {
+void pwtreereport_count(pw_treereport *n, const char *pool, int failed) {
   add_attempts(n, pool, !failed, !!failed, pwclock_ms());
 }
 
-static base_row *base_of(pw_news *n, const char *child, const char *pool) {
+static base_row *base_of(pw_treereport *n, const char *child,
+                         const char *pool) {
   char key[sizeof((base_row *)0)->key];
   base_row *b;
   snprintf(key, sizeof key, "%s %s", child, pool);
@@ -195,7 +197,7 @@
 }
 
 /* Whether this incarnation of the child has sent a Hello before. */
-static int is_known_child(pw_news *n, const Pw__Envelope *e) {
+static int is_known_child(pw_treereport *n, const Pw__Envelope *e) {
   base_row *b = base_of(n, e->from, "");
   int known = b->incarnation == e->incarnation;
   b->incarnation = e->incarnation;
@@ -204,7 +206,7 @@
 
 /* Adds what a child's count has risen since its last Hello. The first Hello of an
 ** incarnation only sets the base: earlier attempts are not counted again. */
-static void add_count(pw_news *n, const Pw__Envelope *e,
+static void add_count(pw_treereport *n, const Pw__Envelope *e,
                       const Pw__VersionCount *v, int known, int64_t now) {
   base_row *b = base_of(n, e->from, v->pool);
   if (known && v->done >= b->done && v->failed >= b->failed)
@@ -213,8 +215,8 @@
   b->failed = v->failed;
 }
 
-void pwnews_sum(const pw_news *n, const char *pool, double *done,
-                double *failed) {
+void pwtreereport_sum(const pw_treereport *n, const char *pool, double *done,
+                      double *failed) {
   const count_row *c;
   HASH_FIND_STR(n->counts, pool, c);
   *done = c ? (double)c->done : 0;
@@ -223,7 +225,7 @@
 
 /* --- Hellos --- */
 
-void pwnews_hello(pw_news *n, const Pw__Envelope *e, int64_t now) {
+void pwtreereport_hello(pw_treereport *n, const Pw__Envelope *e, int64_t now) {
   const Pw__Hello *h = e->hello;
   for (size_t i = 0; i < h->n_states; i++)
     store_state(n, h->states[i], e->from, now - h->states[i]->age, now);
@@ -232,7 +234,7 @@
     add_count(n, e, h->counts[i], known, now);
 }
 
-static void fill_states(pw_news *n, Pw__Hello *h, int64_t confirmed_at,
+static void fill_states(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at,
                         int64_t now) {
   h->states = pw_alloc(sizeof *h->states * STATES_PER_HELLO);
   for (state_row *r = n->states; r; r = r->hh.next) {
@@ -247,7 +249,7 @@
   }
 }
 
-static void fill_counts(pw_news *n, Pw__Hello *h, int64_t confirmed_at) {
+static void fill_counts(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at) {
   h->counts = pw_alloc(sizeof *h->counts * POOLS_MAX);
   for (count_row *c = n->counts; c; c = c->hh.next) {
     if (c->changed < confirmed_at)
@@ -261,12 +263,13 @@
   }
 }
 
-void pwnews_fill(pw_news *n, Pw__Hello *h, int64_t confirmed_at, int64_t now) {
+void pwtreereport_fill(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at,
+                       int64_t now) {
   fill_states(n, h, confirmed_at, now);
   fill_counts(n, h, confirmed_at);
 }
 
-void pwnews_clear(Pw__Hello *h) {
+void pwtreereport_clear(Pw__Hello *h) {
   for (size_t i = 0; i < h->n_counts; i++)
     free(h->counts[i]);
   free(h->counts);
--- a/packages/daemon/pwview.c
+++ b/packages/daemon/pwview.c
@@ -15,7 +15,7 @@
 
 /* A bearer key's hash. */
 typedef struct key_row {
-  char hash[2 * PWVIEW_HASH + 1];
+  char hash[2 * PWVIEW_HASH_BYTES + 1];
   const pw_workspace *workspace;
   UT_hash_handle hh;
 } key_row;
@@ -44,11 +44,11 @@
   pw_policy policy;
 };
 
-void pwview_hash_key(const char *key, char out[2 * PWVIEW_HASH + 1]) {
-  unsigned char hash[PWVIEW_HASH];
+void pwview_hash_key(const char *key, char out[2 * PWVIEW_HASH_BYTES + 1]) {
+  unsigned char hash[PWVIEW_HASH_BYTES];
   crypto_generichash(hash, sizeof hash, (const unsigned char *)key, strlen(key),
                      NULL, 0);
-  sodium_bin2hex(out, 2 * PWVIEW_HASH + 1, hash, sizeof hash);
+  sodium_bin2hex(out, 2 * PWVIEW_HASH_BYTES + 1, hash, sizeof hash);
 }
 
 static void add_workspace(pw_view *v, const char *name, const json_t *spec) {
@@ -90,7 +90,7 @@
 static void add_model(pw_view *v, const pw_res *r, const char *name) {
   named_row *row = add_named(&v->models, name);
   pw_copy(row->model, sizeof row->model, name);
-  row->has_rollout = pwassign_rollout(r, name, &row->rollout);
+  row->has_rollout = pwassign_read_rollout(r, name, &row->rollout);
 }
 
 static void add_adapter(pw_view *v, const char *name, const json_t *spec) {
@@ -161,7 +161,7 @@
 /* The lookup goes by the key's hash, so its timing reveals nothing about the keys.
 ** The hashes are also compared in constant time. */
 const pw_workspace *pwview_workspace(const pw_view *v, const char *key) {
-  char hash[2 * PWVIEW_HASH + 1];
+  char hash[2 * PWVIEW_HASH_BYTES + 1];
   key_row *row;
   if (!v)
     return NULL;
--- a/packages/daemon/pwview.h
+++ b/packages/daemon/pwview.h
@@ -13,7 +13,7 @@
 
 #include <stddef.h>
 
-#define PWVIEW_HASH 32 /* bytes of a key's hash */
+#define PWVIEW_HASH_BYTES 32 /* bytes of a key's hash */
 
 typedef struct pw_workspace {
   char name[PW_NAME_MAX];
@@ -58,7 +58,7 @@
 const pw_policy *pwview_policy(const pw_view *v);
 
 /* Hashes a bearer key as in a workspace's key_hashes: 64 hexadecimal digits. */
-void pwview_hash_key(const char *key, char out[2 * PWVIEW_HASH + 1]);
+void pwview_hash_key(const char *key, char out[2 * PWVIEW_HASH_BYTES + 1]);
 
 /* Reads the policy from the resources. Fields that it does not set get their
 ** defaults. */
--- a/packages/entry/pwanswer.c
+++ b/packages/entry/pwanswer.c
@@ -89,7 +89,7 @@
 static void add_to_record(pw_flight *f, const ProtobufCBinaryData *data) {
   if (!f->call->never || f->record_overflow)
     return;
-  if (f->record.len + data->len > PW_RECORD_MAX)
+  if (f->record.len + data->len > PW_ONCE_RECORD_MAX)
     f->record_overflow = 1;
   else
     pwbuf_add(&f->record, data->data, data->len);
@@ -128,7 +128,7 @@
     pwfl_fail(fs, f, PW_E_UPSTREAM, now);
     return;
   }
-  if (f->received - f->credited > PW_WINDOW / 4)
+  if (f->received - f->credited > PW_STREAM_WINDOW / 4)
     pwfl_send_credit(fs, f, f->received);
 }
 
@@ -191,14 +191,14 @@
   free(hit);
 }
 
-void pwflight_lost(pw_flights *fs, const char *addr, const pw_policy *policy,
-                   int64_t now) {
+void pwflight_link_lost(pw_flights *fs, const char *addr,
+                        const pw_policy *policy, int64_t now) {
   pw_target *t = pwtargets_by_agent(fs->targets, addr);
   if (!t || t->link != PW_LINK_UP)
     return;
   pwevent_add(fs->p->events, PWE_LINK_DOWN, 0, NULL, NULL, t->name,
               "connection lost, in_flight=%d", t->in_flight);
-  pwtargets_lose(fs->targets, t);
+  pwtargets_disconnect(fs->targets, t);
   pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
 }
 
--- a/packages/entry/pwattempt.c
+++ b/packages/entry/pwattempt.c
@@ -49,7 +49,7 @@
 /* Counts an attempt of a version: the rollout is judged by these counts. */
 static void count_version(pw_flights *fs, const pw_flight *f, int failed) {
   if (f->call->other_pool[0])
-    pwnews_count(fs->news, f->pool, failed);
+    pwtreereport_count(fs->treereport, f->pool, failed);
 }
 
 int pwfl_refuse_quarantined(pw_flights *fs, pw_flight *f, int64_t now) {
@@ -120,7 +120,7 @@
     return;
   }
   f->state = F_OPENING; /* not sent: tick_flight goes on to another target */
-  pwtargets_lose(fs->targets, t);
+  pwtargets_disconnect(fs->targets, t);
 }
 
 static void send_attempt(pw_flights *fs, pw_flight *f, pw_target *t,
@@ -133,7 +133,7 @@
   }
   f->state = F_OPENING;
   f->since = now;
-  pwtargets_ask(fs->targets, t, now);
+  pwtargets_ping(fs->targets, t, now);
 }
 
 int64_t pwfl_reask_ms(const pw_flight *f) {
@@ -181,7 +181,7 @@
 
 static pw_refusal refusal_of(pw_code code) {
   if (code == PW_E_MISS)
-    return PW_REFUSED_MISSED;
+    return PW_REFUSED_PREFIX_MISS;
   return code == PW_E_BUSY || code == PW_E_DEADLINE ? PW_REFUSED_BUSY
                                                     : PW_REFUSED_OTHER;
 }
@@ -195,7 +195,7 @@
   if (code != PW_E_MISS)
     f->last_code = code;
   if (refusal_of(code) == PW_REFUSED_BUSY && !pwretry_spend(&fs->budget))
-    pwroute_take_for_full(&f->walk);
+    pwroute_assume_full(&f->walk);
   f->hops++;
   pwcount_add(fs->p->counters, PWC_HOPS, 1);
   pwfl_new_attempt_id(fs, f);
--- a/packages/entry/pwcall.c
+++ b/packages/entry/pwcall.c
@@ -139,13 +139,13 @@
 static void add_number(pw_http *h, const char *name, uint32_t n) {
   char text[16];
   snprintf(text, sizeof text, "%u", n);
-  pwserve_add(h, name, text);
+  pwserve_add_header(h, name, text);
 }
 
 static void add_headers(pw_call *c, pw_http *h) {
-  pwserve_add(h, "Peatwell-Request", c->request);
+  pwserve_add_header(h, "Peatwell-Request", c->request);
   if (c->target[0])
-    pwserve_add(h, "Peatwell-Target", c->target);
+    pwserve_add_header(h, "Peatwell-Target", c->target);
   if (c->has_tokens) {
     add_number(h, "Peatwell-Cached-Tokens", c->cached_tokens);
     add_number(h, "Peatwell-Prompt-Tokens", c->prompt_seen);
@@ -160,10 +160,10 @@
   if (c->code != PW_OK) {
     pwproc_refuse(h, c->code, c->message, c->outcome, c->retry_after);
   } else if (c->stream && !c->ended) {
-    pwserve_add(h, "Peatwell-Outcome", "done");
+    pwserve_add_header(h, "Peatwell-Outcome", "done");
     pwserve_stream(h, c->status, c->type, read_out, c);
   } else {
-    pwserve_add(h, "Peatwell-Outcome", c->outcome);
+    pwserve_add_header(h, "Peatwell-Outcome", c->outcome);
     pwserve_reply(h, c->status, c->type, c->out.data, c->out.len);
     observe(c, PWH_FIRST);
   }
@@ -191,7 +191,7 @@
   pwcall_post(c, PW_NOTE_NEW);
 }
 
-void pwcall_over(pw_call *c) {
+void pwcall_end(pw_call *c) {
   pthread_mutex_lock(&c->lock);
   c->h = NULL;
   pthread_mutex_unlock(&c->lock);
@@ -202,7 +202,7 @@
 
 int pwcall_is_gone(pw_call *c) {
   pthread_mutex_lock(&c->lock);
-  int gone = !c->h || pwserve_gone(c->h);
+  int gone = !c->h || pwserve_is_gone(c->h);
   pthread_mutex_unlock(&c->lock);
   return gone;
 }
--- a/packages/entry/pwcall.h
+++ b/packages/entry/pwcall.h
@@ -21,8 +21,8 @@
   char request[PW_NAME_MAX];
   char chat[PW_NAME_MAX + PW_KEY_MAX + 2]; /* "WORKSPACE/CHAT", or "" */
   char model[PW_NAME_MAX];                 /* model or service */
-  char pool[PWASSIGN_POOL];       /* targets that serve the chosen version */
-  char other_pool[PWASSIGN_POOL]; /* other version of a rollout, or "" */
+  char pool[PWASSIGN_POOL_BYTES]; /* targets that serve the chosen version */
+  char other_pool[PWASSIGN_POOL_BYTES]; /* other version of a rollout, or "" */
   pw_workspace workspace;
   char *method;
   char *path;
@@ -112,7 +112,7 @@
 void pwcall_begin(pw_call *c, pw_http *h);
 
 /* HTTP thread: ends the request and drops the thread's reference. */
-void pwcall_over(pw_call *c);
+void pwcall_end(pw_call *c);
 
 /* Wire thread: whether the caller has hung up. */
 int pwcall_is_gone(pw_call *c);
--- a/packages/entry/pwclaim.c
+++ b/packages/entry/pwclaim.c
@@ -14,7 +14,7 @@
   claim.digest.data = c->digest;
   claim.digest.len = sizeof c->digest;
   Pw__Envelope e = PW_ENVELOPE(CLAIM, claim, &claim);
-  pwsub_to_leader(fs->sub, &e);
+  pwsub_send_to_leader(fs->sub, &e);
   f->sent_at = now;
 }
 
@@ -32,7 +32,7 @@
   }
   r.content_type = f->record_overflow ? "" : (char *)c->type;
   Pw__Envelope e = PW_ENVELOPE(RECORD, record, &r);
-  pwsub_to_leader(fs->sub, &e);
+  pwsub_send_to_leader(fs->sub, &e);
   f->sent_at = now;
 }
 
--- a/packages/entry/pwentry.c
+++ b/packages/entry/pwentry.c
@@ -1,7 +1,6 @@
 /* pwentry.c: the entry role: its sockets, HTTP server and wire thread. */
 #include "pwentry.h"
 
-#include "pwask.h"
 #include "pwbuf.h"
 #include "pwcall.h"
 #include "pwfeed.h"
@@ -9,10 +8,11 @@
 #include "pwflight.h"
 #include "pwlag.h"
 #include "pwlog.h"
-#include "pwnews.h"
 #include "pwreport.h"
+#include "pwrequest.h"
 #include "pwsub.h"
 #include "pwtargets.h"
+#include "pwtreereport.h"
 #include "pwview.h"
 
 #include <stdlib.h>
@@ -40,7 +40,7 @@
   pw_targets *targets;
   pw_flights *flights;
   pw_reports *reports;
-  pw_news *news;
+  pw_treereport *treereport;
   pw_view *view; /* published with RCU */
   pw_policy policy;
   uint64_t in_force;    /* revision that the view and the targets have */
@@ -69,9 +69,9 @@
       json_object_get(json_object_get(doc, "error"), "code"));
   if (code) {
     snprintf(number, sizeof number, "%d", (int)code);
-    pwserve_add(h, "Peatwell-Code", number);
-    pwserve_add(h, "Peatwell-Outcome",
-                code == PW_E_UNKNOWN ? "unknown" : "not-run");
+    pwserve_add_header(h, "Peatwell-Code", number);
+    pwserve_add_header(h, "Peatwell-Outcome",
+                       code == PW_E_UNKNOWN ? "unknown" : "not-run");
   }
   json_decref(doc);
   pwserve_reply(h, status, "application/json", out->data, out->len);
@@ -124,8 +124,8 @@
   pwcount_add(en->p->counters, PWC_REQUESTS, 1);
   urcu_bp_read_lock();
   const pw_view *view = rcu_dereference(en->view);
-  pw_code rc =
-      view ? pwask_read(h, view, c, message, sizeof message) : PW_E_NOT_READY;
+  pw_code rc = view ? pwrequest_read(h, view, c, message, sizeof message)
+                    : PW_E_NOT_READY;
   urcu_bp_read_unlock();
   if (rc == PW_OK && atomic_load(&en->p->stopping) && en->p->stopping > 1)
     rc = PW_E_LEAVING;
@@ -164,13 +164,13 @@
 static void on_http_done(void *arg, void *request, int whole) {
   (void)arg;
   (void)whole;
-  pwcall_over(request);
+  pwcall_end(request);
 }
 
 /* --- wire thread --- */
 
 static void feed_state(entry *en, pw_feed_state *st, int64_t now) {
-  *st = (pw_feed_state){.touch_age = pwsub_touch_age(en->sub, now),
+  *st = (pw_feed_state){.touch_age = pwsub_contact_age(en->sub, now),
                         .leader_wire = pwsub_leader_wire(en->sub),
                         .leader_http = pwsub_leader_http(en->sub),
                         .term = pwsub_term(en->sub),
@@ -210,7 +210,7 @@
   pwcount_set(en->p->counters, PWC_REVISION, (int64_t)en->in_force);
   feed_state(en, &st, now);
   pwfeed_push(en->feed, &st, now);
-  pwsub_hurry(en->sub);
+  pwsub_hello_now(en->sub);
 }
 
 /* Takes in an agent's load and answers with the load sums of its pools. */
@@ -236,7 +236,7 @@
     rows[i].targets = (uint32_t)sums[i].targets;
     list[i] = &rows[i];
   }
-  pwnews_hello(en->news, e, now);
+  pwtreereport_hello(en->treereport, e, now);
   pw_feed_state st;
   feed_state(en, &st, now);
   pwfeed_hello(en->feed, from, e, &st, list, (size_t)n, now);
@@ -244,7 +244,7 @@
 
 static void on_loads(entry *en, const Pw__Envelope *e, int64_t now) {
   pwreport_peer(en->reports, e, now - en->unread_ms, now);
-  pwflight_hear_suspects(en->flights, e->loads, now);
+  pwflight_take_suspects(en->flights, e->loads, now);
 }
 
 static void on_listener(entry *en, int64_t now) {
@@ -276,8 +276,8 @@
 
 static void on_link_lost(entry *en, int64_t now) {
   char addr[128];
-  while (pwwire_lost(en->dialler, addr, sizeof addr))
-    pwflight_lost(en->flights, addr, &en->policy, now);
+  while (pwwire_next_lost(en->dialler, addr, sizeof addr))
+    pwflight_link_lost(en->flights, addr, &en->policy, now);
 }
 
 static void on_mail(entry *en, int64_t now) {
@@ -293,7 +293,7 @@
 }
 
 static void send_hello(entry *en, int64_t now) {
-  if (!pwsub_due(en->sub, now))
+  if (!pwsub_hello_due(en->sub, now))
     return;
   pw_feed_sum sum;
   pwfeed_sum(en->feed, en->in_force, &sum);
@@ -307,14 +307,14 @@
   h.below_revision = sum.revision;
   h.behind = sum.behind;
   h.stopping = atomic_load(&en->p->stopping) != 0;
-  pwnews_fill(en->news, &h, pwsub_told_at(en->sub), now);
+  pwtreereport_fill(en->treereport, &h, pwsub_confirmed_at(en->sub), now);
   pwsub_hello(en->sub, &h, now);
-  pwnews_clear(&h);
+  pwtreereport_clear(&h);
 }
 
 static void on_child_left(void *arg, const pw_child *c) {
   entry *en = arg;
-  pwnews_child_left(en->news, c, pwclock_ms());
+  pwtreereport_child_left(en->treereport, c, pwclock_ms());
 }
 
 /* Copies the wire thread's state for the HTTP threads. The leader's address is
@@ -340,7 +340,7 @@
     return;
   if (atomic_load(&en->p->stopping))
     return;
-  if (pwserve_renew(en->http, &err) == 0)
+  if (pwserve_reload_keys(en->http, &err) == 0)
     pwlog(LOG_NOTICE, "certificate-renewed", "file=%s",
           en->p->set->entry_tls_cert);
   else
@@ -379,7 +379,7 @@
     return 0;
   if (!en->stop_at) {
     en->stop_at = now;
-    pwsub_hurry(en->sub);
+    pwsub_hello_now(en->sub);
     pwevent_add(en->p->events, PWE_STOPPING, 0, NULL, NULL, NULL,
                 "in_flight=%d", pwflight_count(en->flights));
     pwlog(LOG_NOTICE, "stopping", "in_flight=%d", pwflight_count(en->flights));
@@ -397,16 +397,17 @@
 /* After a stall the messages read are older than they seem: a load that they
 ** report is taken to be as old as the stall. */
 static void note_stall(entry *en, int64_t now) {
-  int64_t stall_ms = pwlag_turn(&en->lag, now);
+  int64_t stall_ms = pwlag_iteration(&en->lag, now);
   en->unread_ms = stall_ms ? stall_ms + TURN_MS : 0;
-  pwfeed_excuse(en->feed, stall_ms);
+  pwfeed_discount_stall(en->feed, stall_ms);
 }
 
 static void loop(entry *en) {
-  zmq_pollitem_t items[4] = {{pwwire_raw(en->listener), 0, ZMQ_POLLIN, 0},
-                             {pwwire_raw(en->dialler), 0, ZMQ_POLLIN, 0},
-                             {pwwire_lost_raw(en->dialler), 0, ZMQ_POLLIN, 0},
-                             {NULL, pwmail_fd(en->mail), ZMQ_POLLIN, 0}};
+  zmq_pollitem_t items[4] = {
+      {pwwire_raw(en->listener), 0, ZMQ_POLLIN, 0},
+      {pwwire_raw(en->dialler), 0, ZMQ_POLLIN, 0},
+      {pwwire_monitor_raw(en->dialler), 0, ZMQ_POLLIN, 0},
+      {NULL, pwmail_fd(en->mail), ZMQ_POLLIN, 0}};
   int64_t ticked = 0;
   while (!may_end(en, pwclock_ms())) {
     zmq_poll(items, 4, TICK_MS);
@@ -434,9 +435,9 @@
                       direct, set->entry_stale, set->entry_when_cut_off);
   en->feed = pwfeed_new(en->p, en->listener, pwsub_resources(en->sub));
   en->targets = pwtargets_new(en->p, en->dialler);
-  en->news = pwnews_new();
+  en->treereport = pwtreereport_new();
   en->flights =
-      pwflight_new(en->p, en->dialler, en->targets, en->sub, en->news);
+      pwflight_new(en->p, en->dialler, en->targets, en->sub, en->treereport);
   en->reports = pwreport_new(en->p, en->dialler, en->targets);
   pwview_read_policy(pwsub_resources(en->sub), &en->policy);
   en->children = json_array();
@@ -459,7 +460,7 @@
 }
 
 pw_code pwentry_run(pw_proc *p, pw_buf *err) {
-  entry en = {.p = p, .lag.turn_ms = TURN_MS};
+  entry en = {.p = p, .lag.iteration_max_ms = TURN_MS};
   pw_code rc = PW_E_SETTINGS;
   pthread_mutex_init(&en.lock, NULL);
   en.listener = pwwire_listen(p->wire, p->set->entry_wire, err);
@@ -474,7 +475,7 @@
   pwserve_stop(en.http);
   on_mail(&en, pwclock_ms());
   pwreport_free(en.reports);
-  pwnews_free(en.news);
+  pwtreereport_free(en.treereport);
   pwtargets_free(en.targets);
   pwfeed_free(en.feed);
   pwsub_free(en.sub);
--- a/packages/entry/pwfl.h
+++ b/packages/entry/pwfl.h
@@ -55,7 +55,7 @@
   int not_run; /* F_RECORDING: the claim is released, as nothing was run */
   int status;
   pw_buf record;       /* answer for the once-ledger */
-  int record_overflow; /* the answer exceeds PW_RECORD_MAX and is not recorded */
+  int record_overflow; /* the answer exceeds PW_ONCE_RECORD_MAX and is not recorded */
   UT_hash_handle hh;
 } pw_flight;
 
@@ -64,7 +64,7 @@
   pw_sock *sock;
   pw_targets *targets;
   pw_sub *sub;
-  pw_news *news;
+  pw_treereport *treereport;
   pw_flight *all;
   pw_retry_budget budget;
   double retry_share; /* share that the budget was initialized with */
--- a/packages/entry/pwflight.c
+++ b/packages/entry/pwflight.c
@@ -13,13 +13,13 @@
 #define RESUME_MS 25 /* pause before the first resume, doubled for each next */
 
 pw_flights *pwflight_new(pw_proc *p, pw_sock *dialler, pw_targets *targets,
-                         pw_sub *sub, pw_news *news) {
+                         pw_sub *sub, pw_treereport *treereport) {
   pw_flights *fs = pw_alloc(sizeof *fs);
   fs->p = p;
   fs->sock = dialler;
   fs->targets = targets;
   fs->sub = sub;
-  fs->news = news;
+  fs->treereport = treereport;
   fs->quotas = pwquota_new();
   fs->quarantine = pwquar_new();
   fs->retry_share = PW_RETRY_SHARE;
@@ -103,7 +103,8 @@
   f->since = now;
   f->caller_checked_at = now;
   f->walk.key = pwplace_key(c->model, c->chat[0] ? c->chat : c->request);
-  f->walk.availability_zone = pwtargets_zone(fs->p->set->availability_zone);
+  f->walk.availability_zone =
+      pwtargets_availability_zone(fs->p->set->availability_zone);
   f->walk.cost = PWBOUND_PROMPT_WEIGHT * c->prompt_tokens + c->output_tokens;
   f->walk.returning = c->returning && !c->is_service && c->chat[0] &&
                       c->prompt_tokens >= policy->min_prefix_tokens;
@@ -151,7 +152,7 @@
   pthread_mutex_lock(&f->call->lock);
   uint64_t offset = f->call->taken;
   pthread_mutex_unlock(&f->call->lock);
-  if (f->state == F_ANSWERING && offset - f->credited > PW_WINDOW / 4)
+  if (f->state == F_ANSWERING && offset - f->credited > PW_STREAM_WINDOW / 4)
     pwfl_send_credit(fs, f, offset);
 }
 
@@ -221,7 +222,7 @@
     pw_target *t = pwfl_target_of(fs, f);
     if (t) {
       pwbreak_result(&t->breaker, 1, now);
-      pwtargets_lose(fs->targets, t);
+      pwtargets_disconnect(fs->targets, t);
     }
     if (f->resumes)
       pwfl_broken(fs, f, PW_E_CUT, policy, now);
@@ -245,14 +246,14 @@
     pw_target *t = all[i];
     if (t->in_flight <= 0 || t->link != PW_LINK_UP)
       continue;
-    if (pwtargets_silence(t, now) > PW_LINK_LOST - PW_LINK_ASK) {
+    if (pwtargets_unanswered_ms(t, now) > PW_LINK_LOST - PW_LINK_PING) {
       pwevent_add(fs->p->events, PWE_LINK_DOWN, 0, NULL, NULL, t->name,
                   "no message for %lld ms", (long long)(now - t->link_heard));
-      pwtargets_lose(fs->targets, t);
+      pwtargets_disconnect(fs->targets, t);
       pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
-    } else if (now - t->link_heard > PW_LINK_ASK &&
-               now - t->pinged_at > PW_LINK_ASK) {
-      pwtargets_ask(fs->targets, t, now);
+    } else if (now - t->link_heard > PW_LINK_PING &&
+               now - t->pinged_at > PW_LINK_PING) {
+      pwtargets_ping(fs->targets, t, now);
     }
   }
 }
--- a/packages/entry/pwflight.h
+++ b/packages/entry/pwflight.h
@@ -10,15 +10,15 @@
 
 #include "pwbudget.h"
 #include "pwcall.h"
-#include "pwnews.h"
 #include "pwquarantine.h"
 #include "pwsub.h"
 #include "pwtargets.h"
+#include "pwtreereport.h"
 
 typedef struct pw_flights pw_flights;
 
 pw_flights *pwflight_new(pw_proc *p, pw_sock *dialler, pw_targets *targets,
-                         pw_sub *sub, pw_news *news);
+                         pw_sub *sub, pw_treereport *treereport);
 void pwflight_free(pw_flights *fs);
 
 int pwflight_count(const pw_flights *fs);
@@ -36,11 +36,11 @@
 pw_quarantine *pwflight_quarantine(pw_flights *fs);
 
 /* Takes in the suspected requests that another entry reports. */
-void pwflight_hear_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now);
+void pwflight_take_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now);
 
 /* Handles the loss of the connection to the agent at `addr`. */
-void pwflight_lost(pw_flights *fs, const char *addr, const pw_policy *policy,
-                   int64_t now);
+void pwflight_link_lost(pw_flights *fs, const char *addr,
+                        const pw_policy *policy, int64_t now);
 
 /* Handles the once-ledger's answer to a Claim or Record. */
 void pwflight_claimed(pw_flights *fs, const Pw__Claimed *claimed,
--- a/packages/entry/pwpicking.c
+++ b/packages/entry/pwpicking.c
@@ -47,10 +47,10 @@
 ** would use up the retries. */
 static pw_target *pick_of_versions(pw_flights *fs, pw_flight *f,
                                    const pw_policy *policy, int64_t now) {
-  f->walk.is_choosy = has_other_version(f);
+  f->walk.avoid_ejected = has_other_version(f);
   pw_target *t = pick_target(fs, f, policy, now);
-  int was_choosy = f->walk.is_choosy;
-  f->walk.is_choosy = 0;
+  int was_choosy = f->walk.avoid_ejected;
+  f->walk.avoid_ejected = 0;
   if (!t && pwfl_switch_version(f))
     t = pick_target(fs, f, policy, now);
   if (t || !was_choosy)
--- a/packages/entry/pwreport.c
+++ b/packages/entry/pwreport.c
@@ -132,7 +132,7 @@
 void pwreport_suspects(pw_reports *r, pw_quarantine *q, int64_t now) {
   pw_suspects due;
   if (!r->npeers || now - r->suspects_sent_at < SUSPECTS_MS ||
-      !pwsuspects_fill(&due, q, now))
+      !pwsuspects_due(&due, q, now))
     return;
   r->suspects_sent_at = now;
   Pw__Loads loads = PW__LOADS__INIT;
--- a/packages/entry/pwask.c
+++ b/packages/entry/pwrequest.c
@@ -1,9 +1,9 @@
-/* pwask.c: parses a caller's HTTP request into a call. */
-#include "pwask.h"
+/* pwrequest.c: parses a caller's HTTP request into a call. */
+#include "pwrequest.h"
 
 #include "pwbuf.h"
+#include "pwfingerprint.h"
 #include "pwplace.h"
-#include "pwsign.h"
 
 #include <ctype.h>
 #include <jansson.h>
@@ -124,14 +124,14 @@
     return 0;
   pw_copy(c->model, sizeof c->model, model);
   if (!pwview_rollout(view, model, &r)) {
-    pwassign_pool(c->pool, model, "");
+    pwassign_pool_name(c->pool, model, "");
     return 1;
   }
   const char *chat = c->chat[0] ? c->chat : c->request;
   int fresh = pwrollout_takes(r.share, pwplace_key(model, chat));
-  pwassign_pool(c->pool, model, fresh ? r.to : r.from);
+  pwassign_pool_name(c->pool, model, fresh ? r.to : r.from);
   if (r.state != PW_ROLLOUT_DONE)
-    pwassign_pool(c->other_pool, model, fresh ? r.from : r.to);
+    pwassign_pool_name(c->other_pool, model, fresh ? r.from : r.to);
   return 1;
 }
 
@@ -274,13 +274,13 @@
 }
 
 static void add_fingerprint(pw_call *c) {
-  c->fingerprint = pwsign_of(c->workspace.name, c->method,
-                             (pw_span){c->path, strlen(c->path)},
-                             (pw_span){c->body, c->body_len});
+  c->fingerprint = pwfingerprint_of(c->workspace.name, c->method,
+                                    (pw_span){c->path, strlen(c->path)},
+                                    (pw_span){c->body, c->body_len});
 }
 
-pw_code pwask_read(pw_http *h, const pw_view *view, pw_call *c, char *message,
-                   size_t cap) {
+pw_code pwrequest_read(pw_http *h, const pw_view *view, pw_call *c,
+                       char *message, size_t cap) {
   const pw_workspace *w = pwview_workspace(view, pwproc_bearer(h));
   if (!w)
     return PW_E_KEY;
--- a/packages/entry/pwsuspicion.c
+++ b/packages/entry/pwsuspicion.c
@@ -11,24 +11,24 @@
 
 /* Updates the counter, and logs the start and end of a quarantine. */
 static void note_suspect(pw_flights *fs, uint64_t fingerprint,
-                         pw_quar_news change) {
+                         pw_quar_change change) {
   const pw_quarantine *q = fs->quarantine;
-  if (change == PWQUAR_OLD)
+  if (change == PWQUAR_UNCHANGED)
     return;
-  pwcount_set(fs->p->counters, PWC_ENDED_UNDER, pwquar_total(q));
+  pwcount_set(fs->p->counters, PWC_CRASHED_UNDER, pwquar_total(q));
   if (change == PWQUAR_BEGUN || change == PWQUAR_RELEASED)
     pwlog(LOG_WARNING, change == PWQUAR_BEGUN ? "quarantined" : "released",
           "sign=%016llx ends=%d", (unsigned long long)fingerprint,
-          pwquar_ends(q, fingerprint));
+          pwquar_crashes(q, fingerprint));
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news change) {
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change change) {
   note_suspect(arg, fingerprint, change);
 }
 
-void pwflight_hear_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now) {
-  pwsuspects_take(fs->quarantine, m->suspects, m->n_suspects, now, on_suspect,
-                  fs);
+void pwflight_take_suspects(pw_flights *fs, const Pw__Loads *m, int64_t now) {
+  pwsuspects_receive(fs->quarantine, m->suspects, m->n_suspects, now,
+                     on_suspect, fs);
 }
 
 /* Identifies one incarnation of a target by the time of its crash: an agent outlives its target and does
@@ -42,8 +42,8 @@
   const pw_target *t = pwfl_target_of(fs, f);
   if (t)
     note_suspect(fs, f->call->fingerprint,
-                 pwquar_ended(fs->quarantine, f->call->fingerprint,
-                              incarnation_of(t), now));
+                 pwquar_crashed(fs->quarantine, f->call->fingerprint,
+                                incarnation_of(t), now));
 }
 
 void pwfl_note_answered(pw_flights *fs, const pw_flight *f, int64_t now) {
--- a/packages/entry/pwtargets.c
+++ b/packages/entry/pwtargets.c
@@ -26,7 +26,7 @@
 } row;
 
 typedef struct pool {
-  char name[PWASSIGN_POOL];
+  char name[PWASSIGN_POOL_BYTES];
   uint64_t shape;  /* hash of the members and weights of `place` */
   pw_place *place; /* placement table */
   uint64_t *id;    /* members, sorted */
@@ -46,7 +46,7 @@
     uint64_t draw;
     int64_t now;
     double limit;
-    int spares_retries;
+    int save_retries;
   } pick; /* arguments of the last pwtargets_pool, for get_route */
 };
 
@@ -67,7 +67,7 @@
 static void drop_row(pw_targets *t, row *r) {
   HASH_DEL(t->rows, r);
   if (r->t.link != PW_LINK_NONE)
-    pwwire_hang_up(t->sock, r->t.agent);
+    pwwire_disconnect(t->sock, r->t.agent);
   free(r);
 }
 
@@ -86,7 +86,7 @@
   free(t);
 }
 
-uint32_t pwtargets_zone(const char *name) {
+uint32_t pwtargets_availability_zone(const char *name) {
   return name[0] ? (uint32_t)XXH3_64bits(name, strlen(name)) | 1U : 0;
 }
 
@@ -102,7 +102,7 @@
 
 pw_target *pwtargets_by_peer(pw_targets *t, const pw_peer *peer) {
   for (row *r = t->rows; r; r = r->hh.next)
-    if (r->t.link != PW_LINK_NONE && pwwire_same(&r->t.peer, peer))
+    if (r->t.link != PW_LINK_NONE && pwwire_same_peer(&r->t.peer, peer))
       return &r->t;
   return NULL;
 }
@@ -142,13 +142,13 @@
   pw_target *one = row_of(t, name, now);
   const char *agent = pwjson_text(spec, "agent");
   if (strcmp(one->agent, agent) != 0) {
-    pwtargets_lose(t, one);
+    pwtargets_disconnect(t, one);
     pw_copy(one->agent, sizeof one->agent, agent);
   }
   const json_t *weight = json_object_get(spec, "weight");
   one->weight = weight ? (uint32_t)json_number_value(weight) : 1;
   one->availability_zone =
-      pwtargets_zone(pwjson_text(spec, "availability_zone"));
+      pwtargets_availability_zone(pwjson_text(spec, "availability_zone"));
   int drain = json_is_true(json_object_get(spec, "drain"));
   if (one->drain && !drain)
     one->leaving = 0; /* outdated: the next report says whether it leaves */
@@ -327,14 +327,14 @@
   for (pool *p = t->pools; p; p = p->hh.next)
     p->marked = 0;
   for (const pw_resource *one = pwres_first(r); one; one = one->next) {
-    if (!pwres_is(one, "target"))
+    if (!pwres_is_live(one, "target"))
       continue;
     json_t *spec = json_loads(one->spec, 0, NULL);
     if (is_in_region(t, spec)) {
       read_target(t, one->name, spec, now);
       pool_reader j = {t, &all, pwplace_id(one->name)};
       pwassign_read(r, one->name, a);
-      pwassign_pools(a, json_object_get(spec, "models"), add_member, &j);
+      pwassign_each_pool(a, json_object_get(spec, "models"), add_member, &j);
       add_services(&j, json_object_get(spec, "services"));
     }
     json_decref(spec);
@@ -382,7 +382,7 @@
   return restarted;
 }
 
-void pwtargets_ask(pw_targets *t, pw_target *one, int64_t now) {
+void pwtargets_ping(pw_targets *t, pw_target *one, int64_t now) {
   if (one->link == PW_LINK_NONE) {
     if (!one->agent[0] || pwwire_dial(t->sock, one->agent, &one->peer) != 0)
       return;
@@ -398,7 +398,7 @@
   one->pinged_at = now;
 }
 
-int64_t pwtargets_silence(const pw_target *one, int64_t now) {
+int64_t pwtargets_unanswered_ms(const pw_target *one, int64_t now) {
   return one->pinged_at > one->link_heard ? now - one->unanswered_since : 0;
 }
 
@@ -406,10 +406,10 @@
   return one->link == PW_LINK_UP && now - one->link_heard < PW_LINK_FRESH;
 }
 
-void pwtargets_lose(pw_targets *t, pw_target *one) {
+void pwtargets_disconnect(pw_targets *t, pw_target *one) {
   if (one->link == PW_LINK_NONE)
     return;
-  pwwire_hang_up(t->sock, one->agent);
+  pwwire_disconnect(t->sock, one->agent);
   one->link = PW_LINK_NONE;
   one->link_heard = INT64_MIN / 2;
 }
@@ -431,10 +431,10 @@
 
 /* Whether the target has asked for a hold-off, or has recently rejected requests
 ** while retries are scarce. */
-static int rejects_requests(const pw_target *one, int spares_retries,
+static int rejects_requests(const pw_target *one, int save_retries,
                             int64_t now) {
   return now < one->hold_off_until ||
-         (spares_retries && pwreject_is_recent(&one->rejects, now));
+         (save_retries && pwreject_is_recent(&one->rejects, now));
 }
 
 /* Whether requests go to the target only when no other is left. */
@@ -443,7 +443,7 @@
   int64_t now = t->pick.now;
   double share = (double)(draw >> 40) / (double)(1 << 24);
   return is_unresponsive(one, now) ||
-         rejects_requests(one, t->pick.spares_retries, now) ||
+         rejects_requests(one, t->pick.save_retries, now) ||
          !pwbreak_allows(&one->breaker, now, share);
 }
 
@@ -471,7 +471,7 @@
   uint64_t draw = t->pick.draw ^ id * 0x9e3779b97f4a7c15ULL;
   *out = (pw_route_target){.id = id,
                            .usable = !one->drain && !one->leaving,
-                           .aside = is_avoided(t, one, draw),
+                           .ejected = is_avoided(t, one, draw),
                            .joining = pwbreak_is_joining(&one->breaker) &&
                                       !is_unresponsive(one, t->pick.now),
                            .availability_zone = one->availability_zone,
@@ -482,7 +482,7 @@
 }
 
 int pwtargets_pool(pw_targets *t, const char *name, const pw_policy *policy,
-                   uint64_t draw, int spares_retries, int64_t now,
+                   uint64_t draw, int save_retries, int64_t now,
                    pw_route_pool *out) {
   pool *p;
   HASH_FIND_STR(t->pools, name, p);
@@ -490,7 +490,7 @@
     return 0;
   t->pick.draw = draw;
   t->pick.now = now;
-  t->pick.spares_retries = spares_retries;
+  t->pick.save_retries = save_retries;
   t->pick.limit = pwbound_limit(&p->sum, &policy->bound, now);
   *out = (pw_route_pool){p->place, p->id, p->n, t, get_route};
   return 1;
--- a/packages/entry/pwtargets.h
+++ b/packages/entry/pwtargets.h
@@ -22,7 +22,7 @@
   uint64_t id;
   char name[PW_NAME_MAX];
   char agent[96];             /* address of its agent */
-  uint32_t availability_zone; /* number from pwtargets_zone */
+  uint32_t availability_zone; /* number from pwtargets_availability_zone */
   uint32_t weight;
   int drain;  /* set in the target's resource */
   int marked; /* found in the resources during pwtargets_update */
@@ -75,27 +75,27 @@
                      int64_t now);
 
 /* Sends the agent a Ping, over a new link if there is none. */
-void pwtargets_ask(pw_targets *t, pw_target *one, int64_t now);
+void pwtargets_ping(pw_targets *t, pw_target *one, int64_t now);
 
 /* Whether the agent was heard over the link recently enough to send a Run. */
 int pwtargets_is_fresh(const pw_target *one, int64_t now);
 
 /* How long the first unanswered Ping has been waiting, ms; 0: all are answered.
 ** So a link that was merely idle does not count as silent. */
-int64_t pwtargets_silence(const pw_target *one, int64_t now);
+int64_t pwtargets_unanswered_ms(const pw_target *one, int64_t now);
 
 /* Closes the link to the target, if there is one. */
-void pwtargets_lose(pw_targets *t, pw_target *one);
+void pwtargets_disconnect(pw_targets *t, pw_target *one);
 
 /* Lower bound of the agent's clock now. */
 int64_t pwtargets_clock(const pw_target *one, int64_t now);
 
 /* Fills in the named pool for the next pick; 0 when it has no targets. Valid
 ** until the next call. The random bits `draw` decide which targets in slow start
-** take the request. With `spares_retries` targets that recently rejected requests
+** take the request. With `save_retries` targets that recently rejected requests
 ** are avoided. */
 int pwtargets_pool(pw_targets *t, const char *name, const pw_policy *policy,
-                   uint64_t draw, int spares_retries, int64_t now,
+                   uint64_t draw, int save_retries, int64_t now,
                    pw_route_pool *out);
 
 /* Recomputes the load sums of all pools. */
@@ -107,6 +107,6 @@
                        pw_pool_sum *out, int max);
 
 /* Hash of an availability zone's name, 0 for an empty name. */
-uint32_t pwtargets_zone(const char *name);
+uint32_t pwtargets_availability_zone(const char *name);
 
 #endif
--- a/packages/gateway/pwfollow.c
+++ b/packages/gateway/pwconfsync.c
@@ -1,4 +1,4 @@
-/* pwfollow.c: fetches newer configurations of a gateway, reads them and applies them. */
+/* pwconfsync.c: fetches newer configurations of a gateway, reads them and applies them. */
 #include "pwlinkint.h"
 
 /* A document that did not come is requested again after this time, ms. */
@@ -36,7 +36,7 @@
 /* Requests the newest configuration from one control instance. If each one were asked, 103 gateways
 ** would get 515 copies of 35 KB, which kept the links of five control instances busy for 5 s, with
 ** votes and leases queued behind them. */
-void pwfollow_ask(pw_link *l, int64_t now) {
+void pwconfsync_request(pw_link *l, int64_t now) {
   int nnewer = 0;
   for (const contact *c = l->contacts; c; c = c->next)
     nnewer += has_newer(l, c, now);
@@ -60,35 +60,35 @@
 
 /* --- reading and applying --- */
 
-void pwfollow_end(pw_link *l) {
+void pwconfsync_end(pw_link *l) {
   l->g->dialect->end_site(l->reading);
   l->reading = NULL;
-  pwsite_drop(l->base_site);
+  pwsite_release(l->base_site);
   l->base_site = NULL;
 }
 
 /* Reads the received document, one step in each iteration of the event loop, so that streams are
 ** forwarded meanwhile. A document received while another one is read is read next. */
-void pwfollow_read(pw_link *l) {
+void pwconfsync_read(pw_link *l) {
   pw_gate *g = l->g;
   pw_site *site;
   char why[160] = "";
   if (!l->reading) {
     size_t n;
     const char *text = pwdoc_text(l->doc, &n);
-    l->base_site = g->site ? pwsite_hold(g->site) : NULL;
+    l->base_site = g->site ? pwsite_retain(g->site) : NULL;
     l->read_version = pwdoc_version(l->doc);
     l->read_bytes = n;
     l->reading = g->dialect->begin_site(text, n, l->base_site);
   }
-  int routes = pwsite_routes_a_step(l->read_bytes, !g->site);
+  int routes = pwsite_routes_per_step(l->read_bytes, !g->site);
   pw_code rc =
       g->dialect->step_site(l->reading, routes, &site, why, sizeof why);
   if (rc == PW_OK && !site)
     return;
-  pwfollow_end(l);
+  pwconfsync_end(l);
   if (rc == PW_OK)
-    pwgate_adopt(g, site);
+    pwgate_apply_site(g, site);
   else
     pwlog(LOG_ERR, "configuration-unreadable", "code=%d why=\"%s\"", (int)rc,
           why);
@@ -96,7 +96,7 @@
 
 static void close_relay(pw_link *l) {
   if (l->relay_addr[0])
-    pwwire_hang_up(l->sock, l->relay_addr);
+    pwwire_disconnect(l->sock, l->relay_addr);
   l->relay_addr[0] = 0;
 }
 
@@ -114,14 +114,14 @@
   pwwire_send(l->sock, &peer, &e);
 }
 
-void pwfollow_document(pw_link *l, const Pw__Document *d, int64_t now) {
+void pwconfsync_document(pw_link *l, const Pw__Document *d, int64_t now) {
   uint64_t before = pwdoc_version(l->doc);
   if (d->ask[0]) {
     if (d->version > before)
       fetch_from_relay(l, d->ask);
     return;
   }
-  pw_code rc = pwdoc_take(l->doc, d);
+  pw_code rc = pwdoc_apply(l->doc, d);
   /* The base of the difference is not held here: the full document is needed. */
   if (rc == PW_E_STALE) {
     l->requested_at = 0;
@@ -133,5 +133,5 @@
   close_relay(l);
   if (l->requested_from) /* it may refer other gateways to this one now */
     pwlink_send_watch(l, l->requested_from, 0, now);
-  pwfollow_read(l);
+  pwconfsync_read(l);
 }
--- a/packages/gateway/pwevents.c
+++ b/packages/gateway/pwevents.c
@@ -5,8 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
-void pwexi_note(const pw_exchange *x, pw_trace_kind kind, const char *event,
-                const char *fmt, ...) {
+void pwexi_log(const pw_exchange *x, pw_trace_kind kind, const char *event,
+               const char *fmt, ...) {
   char text[320];
   va_list ap;
   va_start(ap, fmt);
@@ -40,13 +40,13 @@
   x->forwarded_at = now;
 }
 
-void pwexi_pass(pw_exchange *x, const char *data, size_t n) {
+void pwexi_forward(pw_exchange *x, const char *data, size_t n) {
   if (!x->has_begun)
     pwexi_begin_answer(x);
   note_pause(x);
   x->nchunks++;
-  pwconn_piece(x->caller, data, n);
-  if (x->u && pwtcp_pending(x->caller->tcp) > x->g->hold.untaken &&
+  pwconn_write(x->caller, data, n);
+  if (x->u && pwtcp_pending(x->caller->tcp) > x->g->hold.unwritten &&
       !x->is_paused) {
     x->is_paused = 1;
     pwupconn_pause(x->u, 1);
@@ -93,9 +93,9 @@
   }
 }
 
-void pwexi_events(pw_exchange *x, const char *data, size_t n) {
+void pwexi_forward_events(pw_exchange *x, const char *data, size_t n) {
   if (x->buffered.len) {
-    x->is_too_large |= x->buffered.len + n > PWEX_HELD_MAX;
+    x->is_too_large |= x->buffered.len + n > PWEX_BUFFER_MAX;
     if (x->is_too_large)
       return;
     pwbuf_add(&x->buffered, data, n);
@@ -103,14 +103,14 @@
     if (!complete)
       return;
     note_id(x, x->buffered.data, complete);
-    pwexi_pass(x, x->buffered.data, complete);
+    pwexi_forward(x, x->buffered.data, complete);
     pwbuf_skip(&x->buffered, complete);
     return;
   }
   size_t complete = complete_events(data, n);
   if (complete) {
     note_id(x, data, complete);
-    pwexi_pass(x, data, complete);
+    pwexi_forward(x, data, complete);
   }
   if (complete < n)
     pwbuf_add(&x->buffered, data + complete, n - complete);
--- a/packages/gateway/pwexchange.c
+++ b/packages/gateway/pwexchange.c
@@ -30,11 +30,11 @@
 
 /* --- the end of an exchange --- */
 
-void pwexi_let_go(pw_exchange *x) {
+void pwexi_release(pw_exchange *x) {
   if (!x->t)
     return;
   x->t->inflight--;
-  pwfleet_drop(x->t);
+  pwfleet_release(x->t);
   x->t = NULL;
   x->u = NULL;
 }
@@ -57,15 +57,15 @@
     x->u = NULL;
     pwupconn_cancel(u);
   }
-  pwexi_let_go(x);
+  pwexi_release(x);
   ev_timer_stop(g->ev, &x->timer);
   for (int i = 0; i < x->ntried; i++)
-    pwfleet_drop(x->tried[i]);
+    pwfleet_release(x->tried[i]);
   g->nexchanges--;
-  pwsite_drop(x->site);
+  pwsite_release(x->site);
   pwbuf_free(&x->headers);
   pwbuf_free(&x->buffered);
-  pwgate_later(g, x);
+  pwgate_free_later(g, x);
 }
 
 /* Detaches the exchange from its caller's connection, to which the answer is written next. */
@@ -78,10 +78,10 @@
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms) {
   pw_conn *c = detach_caller(x);
-  pwexi_note(x, PWTRACE_FAIL, "refused",
-             "target=%s code=%d name=%s why=\"%s\" retry_ms=%lld",
-             x->t ? x->t->id : "-", (int)code, pwcode_name(code), why,
-             (long long)retry_ms);
+  pwexi_log(x, PWTRACE_FAIL, "refused",
+            "target=%s code=%d name=%s why=\"%s\" retry_ms=%lld",
+            x->t ? x->t->id : "-", (int)code, pwcode_name(code), why,
+            (long long)retry_ms);
   free_exchange(x);
   pwconn_refuse(c, code, why, retry_ms);
 }
@@ -89,8 +89,8 @@
 static void answer(pw_exchange *x) {
   pw_conn *c = detach_caller(x);
   int64_t age = pwclock_ms() - x->arrived;
-  pwexi_note(x, PWTRACE_WELL, "answered", "status=%d bytes=%zu", x->status,
-             x->buffered.len);
+  pwexi_log(x, PWTRACE_ROUTINE, "answered", "status=%d bytes=%zu", x->status,
+            x->buffered.len);
   pwexi_observe(x, PWSTAGE_FIRST, age);
   pwexi_observe(x, PWSTAGE_WHOLE, age);
   pw_buf headers = x->headers;
@@ -105,19 +105,19 @@
 }
 
 /* The part of the answer that was forwarded cannot be completed any more. */
-void pwexi_break(pw_exchange *x, const char *why) {
+void pwexi_abort(pw_exchange *x, const char *why) {
   pw_conn *c = detach_caller(x);
-  pwexi_note(x, PWTRACE_FAIL, "broken-off", "target=%s why=\"%s\" last=%.*s",
-             x->t ? x->t->id : "-", why, (int)x->nlast_event, x->last_event);
+  pwexi_log(x, PWTRACE_FAIL, "broken-off", "target=%s why=\"%s\" last=%.*s",
+            x->t ? x->t->id : "-", why, (int)x->nlast_event, x->last_event);
   pwcount_add(x->g->p->counters, PWC_GW_BROKEN, 1);
   free_exchange(x);
-  pwconn_break(c);
+  pwconn_abort(c);
 }
 
-void pwexi_give_up(pw_exchange *x, pw_code code, const char *why,
-                   int64_t retry_ms) {
+void pwexi_fail(pw_exchange *x, pw_code code, const char *why,
+                int64_t retry_ms) {
   if (x->has_begun)
-    pwexi_break(x, why);
+    pwexi_abort(x, why);
   else if (x->may_have_run)
     pwexi_refuse(x, PW_E_UNKNOWN, why, 0);
   else
@@ -126,19 +126,19 @@
 
 void pwexchange_abandon(void *exchange) {
   pw_exchange *x = exchange;
-  pwexi_note(x, PWTRACE_FAIL, "caller-gone", "target=%s sent=%d",
-             x->t ? x->t->id : "-", x->is_sent);
+  pwexi_log(x, PWTRACE_FAIL, "caller-gone", "target=%s sent=%d",
+            x->t ? x->t->id : "-", x->is_sent);
   pwcount_add(x->g->p->counters, PWC_GW_GONE, 1);
   free_exchange(x);
 }
 
 void pwexchange_stop(pw_exchange *x) {
-  pwexi_break(x, "the grace period of the planned stop ended");
+  pwexi_abort(x, "the grace period of the planned stop ended");
 }
 
 /* --- time --- */
 
-int64_t pwexi_at_target(const pw_exchange *x, int64_t at) {
+int64_t pwexi_target_ms(const pw_exchange *x, int64_t at) {
   int64_t ms = at - x->sent_at - (x->g->tcp.lag.lost_ms - x->sent_stalled_ms);
   return ms > 0 ? ms : 0;
 }
@@ -155,7 +155,7 @@
   int64_t left = g->started_at + CONFIG_EXPECTED_MS - pwclock_ms();
   int64_t least = left > PWEX_RETRY_LEAST_MS ? left : PWEX_RETRY_LEAST_MS;
   pwexi_refuse(x, PW_E_NOT_READY, "the gateway has no configuration yet",
-               least + (int64_t)(pwgate_draw(g) * RETRY_SPREAD_MS));
+               least + (int64_t)(pwgate_random(g) * RETRY_SPREAD_MS));
 }
 
 /* Ms by which the time-out is deferred; -1: not at all. Bytes that have arrived are read first: the loop
@@ -181,19 +181,19 @@
     refuse_unready(x);
     return 1;
   }
-  if (x->t && pwfleet_is_dark(x->t, now)) {
+  if (x->t && pwfleet_is_unresponsive(x->t, now)) {
     pwfleet_failed(x->t, now);
     if (x->is_sent)
-      pwexi_note_dark(x, now);
+      pwexi_note_unresponsive(x, now);
   } else if (x->t && x->is_sent) {
-    pwexi_seen_bad(x);
+    pwexi_record_bad(x);
   }
   if (!x->has_begun && x->may_have_run)
     pwexi_refuse(x, PW_E_TIMEOUT,
                  "no complete answer within the time-out or deadline", 0);
   else
-    pwexi_give_up(x, PW_E_NO_TARGET, "the time-out or deadline has passed",
-                  PWEX_RETRY_LEAST_MS);
+    pwexi_fail(x, PW_E_NO_TARGET, "the time-out or deadline has passed",
+               PWEX_RETRY_LEAST_MS);
   return 1;
 }
 
@@ -230,7 +230,7 @@
     pwexi_refuse(x, PW_E_KEY, "", 0);
     return -1;
   }
-  x->service = pwsite_draw_service(x->site, x->route, pwgate_draw(g));
+  x->service = pwsite_draw_service(x->site, x->route, pwgate_random(g));
   return 0;
 }
 
@@ -245,10 +245,12 @@
   int64_t ms = x->ask.deadline_ms;
   if (!r || ms < 0)
     return 0;
-  pwusual_note(&r->baseline, ms,
-               pwplaces_share(&x->service_state->places) > PWEX_CALM_SHARE);
-  int64_t shortest = pwusual_shortest(&r->baseline);
-  x->retry_known_ms = pwusual_ms(&r->baseline) - shortest + repeat_margin_ms(x);
+  pwtimeouts_note(&r->baseline, ms,
+                  pwshed_admitted_share(&x->service_state->places) >
+                      PWEX_CALM_SHARE);
+  int64_t shortest = pwtimeouts_shortest(&r->baseline);
+  x->retry_known_ms =
+      pwtimeouts_baseline(&r->baseline) - shortest + repeat_margin_ms(x);
   return ms + repeat_margin_ms(x) < shortest;
 }
 
@@ -256,24 +258,24 @@
 ** order of their own urgency. */
 static int urgency_of(pw_exchange *x) {
   const char *workspace = x->workspace ? x->workspace->name : "";
-  double surplus = pwsurge_note(x->service_state->surge, workspace, x->arrived);
+  double surplus = pwspike_note(x->service_state->spike, workspace, x->arrived);
   int urgency = x->route->priority > 0 ? x->route->priority : 0;
-  if (urgency >= PWPLACES_SURPLUS)
-    urgency = PWPLACES_SURPLUS - 1;
-  return pwgate_draw(x->g) < surplus ? PWPLACES_SURPLUS + urgency : urgency;
+  if (urgency >= PWSHED_SURPLUS)
+    urgency = PWSHED_SURPLUS - 1;
+  return pwgate_random(x->g) < surplus ? PWSHED_SURPLUS + urgency : urgency;
 }
 
 static uint64_t fingerprint_of(const pw_exchange *x) {
   const pw_h1 *m = &x->caller->request;
-  return pwsign_of(x->workspace ? x->workspace->name : "",
-                   http_method_str((enum http_method)m->parser.method),
-                   (pw_span){m->url, m->nurl},
-                   (pw_span){x->caller->body.data, x->caller->body.len});
+  return pwfingerprint_of(x->workspace ? x->workspace->name : "",
+                          http_method_str((enum http_method)m->parser.method),
+                          (pw_span){m->url, m->nurl},
+                          (pw_span){x->caller->body.data, x->caller->body.len});
 }
 
 static void start(pw_exchange *x) {
   pw_gate *g = x->g;
-  x->site = pwsite_hold(g->site);
+  x->site = pwsite_retain(g->site);
   if (admit(x) != 0)
     return;
   x->fingerprint = fingerprint_of(x);
@@ -285,7 +287,7 @@
   x->is_deprioritized = is_repeat(x);
   pwretries_request(&x->service_state->retries, x->arrived);
   set_timer(x, pwexi_time_left(x));
-  pwexi_place(x);
+  pwexi_dispatch(x);
 }
 
 /* --- requests that came before a configuration --- */
@@ -309,7 +311,7 @@
   set_timer(x, wait_ms);
 }
 
-void pwexchange_go_on(pw_gate *g) {
+void pwexchange_start_waiting(pw_gate *g) {
   while (g->awaiting) {
     pw_exchange *x = g->awaiting;
     leave_waiting_list(x);
@@ -335,8 +337,9 @@
     await_configuration(x);
 }
 
-size_t pwexchange_held(const pw_exchange *x) {
-  return x->buffered.cap + x->headers.cap + (x->u ? pwupconn_held(x->u) : 0);
+size_t pwexchange_buffered(const pw_exchange *x) {
+  return x->buffered.cap + x->headers.cap +
+         (x->u ? pwupconn_buffered(x->u) : 0);
 }
 
 /* --- answers --- */
@@ -348,35 +351,37 @@
     x->runs++;
 }
 
-int pwexchange_is_surplus(const pw_exchange *x, const pw_h1 *m, pw_told *told) {
-  x->g->dialect->read_answer(m, &x->ask, told);
-  return !told->is_mine;
+int pwexchange_is_stale(const pw_exchange *x, const pw_h1 *m,
+                        pw_answer_info *info) {
+  x->g->dialect->read_answer(m, &x->ask, info);
+  return !info->id_matches;
 }
 
 static void copy_headers(pw_exchange *x, const pw_h1 *m) {
   x->headers.len = 0;
   for (int i = 0; i < m->nheaders; i++) {
     const pw_h1_header *h = &m->header[i];
-    if (!pwh1_is_hop(m, h))
+    if (!pwh1_is_hop_by_hop(m, h))
       pwh1_write(&x->headers, h);
   }
 }
 
-void pwexchange_head(pw_exchange *x, const pw_h1 *m, const pw_told *told) {
+void pwexchange_head(pw_exchange *x, const pw_h1 *m,
+                     const pw_answer_info *info) {
   int status = m->parser.status_code;
-  x->answer_info = *told;
+  x->answer_info = *info;
   x->status = status;
   x->buffered.len = 0;
   x->is_event_stream =
-      x->route->is_stream && status / 100 == 2 && told->is_whole;
+      x->route->is_stream && status / 100 == 2 && info->is_signed;
   if (!x->has_begun)
     copy_headers(x, m);
 }
 
 void pwexchange_body(pw_exchange *x, const char *data, size_t n) {
   if (x->is_event_stream)
-    pwexi_events(x, data, n);
-  else if (x->buffered.len + n <= PWEX_HELD_MAX)
+    pwexi_forward_events(x, data, n);
+  else if (x->buffered.len + n <= PWEX_BUFFER_MAX)
     pwbuf_add(&x->buffered, data, n);
   else
     x->is_too_large = 1;
@@ -384,17 +389,17 @@
 
 static void complete_stream(pw_exchange *x, int64_t now) {
   pwexi_note_answered(x, now);
-  pwexi_seen_good(x, now);
+  pwexi_record_good(x, now);
   pwfleet_answered(x->t, 0, pwclock_ms());
   if (x->buffered.len) { /* bytes after the last complete event */
-    pwexi_pass(x, x->buffered.data, x->buffered.len);
+    pwexi_forward(x, x->buffered.data, x->buffered.len);
     x->buffered.len = 0;
   }
   if (!x->has_begun)
     pwexi_begin_answer(x);
   pw_conn *c = detach_caller(x);
-  pwexi_note(x, PWTRACE_WELL, "answered", "status=%d stream=1 pause=%lld",
-             x->status, (long long)x->longest_pause);
+  pwexi_log(x, PWTRACE_ROUTINE, "answered", "status=%d stream=1 pause=%lld",
+            x->status, (long long)x->longest_pause);
   pwexi_observe(x, PWSTAGE_PAUSE, x->longest_pause);
   pwexi_observe(x, PWSTAGE_WHOLE, pwclock_ms() - x->arrived);
   free_exchange(x);
@@ -409,41 +414,41 @@
          status == HTTP_STATUS_SERVICE_UNAVAILABLE;
 }
 
-void pwexchange_whole(pw_exchange *x) {
+void pwexchange_complete(pw_exchange *x) {
   int64_t now = pwclock_ms();
   int is_good = x->status / 100 == 2;
   x->u = NULL;
   if (x->is_event_stream && x->is_too_large) {
     pwfleet_failed(x->t, now);
-    pwexi_unknown(x, "an event of the stream is larger than the buffer");
+    pwexi_fail_unknown(x, "an event of the stream is larger than the buffer");
   } else if (x->is_event_stream) {
     complete_stream(x, now);
   } else if (x->answer_info.not_run && x->status != HTTP_STATUS_BAD_REQUEST) {
-    pwexi_not_run(x);
+    pwexi_handle_not_run(x);
   } else if (promises_not_run(x->status)) {
     /* Without proof the request may have run: the status would wrongly deny that if it were forwarded. */
-    pwfleet_erred(x->t, now);
-    pwexi_unknown(
+    pwfleet_error_answered(x->t, now);
+    pwexi_fail_unknown(
         x, "the target rejected the request without proof that it did not run");
   } else if (x->has_begun || x->is_too_large ||
-             (is_good && !x->answer_info.is_whole)) {
+             (is_good && !x->answer_info.is_signed)) {
     pwfleet_failed(x->t, now);
-    pwexi_unknown(
+    pwexi_fail_unknown(
         x, "the answer is too large, unsigned or does not continue the stream");
   } else if (x->status / 100 == 5 && pwexi_may_repeat(x, now)) {
-    pwexi_seen_bad(x);
-    pwfleet_erred(x->t, now);
+    pwexi_record_bad(x);
+    pwfleet_error_answered(x->t, now);
     pwexi_retry(x, "the target answered with a server error", 1);
   } else {
     if (is_good) {
       pwexi_note_answered(x, now);
-      pwexi_seen_good(x, now);
-      pwfleet_answered(x->t, (double)pwexi_at_target(x, now), now);
+      pwexi_record_good(x, now);
+      pwfleet_answered(x->t, (double)pwexi_target_ms(x, now), now);
     } else if (x->status / 100 == 5) {
-      pwexi_seen_bad(x);
-      pwfleet_erred(x->t, now);
+      pwexi_record_bad(x);
+      pwfleet_error_answered(x->t, now);
     }
-    pwexi_let_go(x);
+    pwexi_release(x);
     answer(x);
   }
 }
