--- a/packages/gateway/pwexfail.c
+++ b/packages/gateway/pwexfail.c
@@ -17,31 +17,32 @@
 /* A request is overdue after this many times the baseline answer time of its route. */
 #define BASELINE_TIMES 2
 
-void pwexi_note_ended(pw_exchange *x, int64_t now) {
+void pwexi_note_crashed(pw_exchange *x, int64_t now) {
   pw_gate *g = x->g;
-  pw_quar_news news =
-      pwquar_ended(g->quarantine, x->fingerprint, x->t->start_hash, now);
-  pwexi_note(x, PWTRACE_FAIL, "ended-under",
-             "target=%s sign=%016llx began=%d ends=%d", x->t->id,
-             (unsigned long long)x->fingerprint, x->has_begun,
-             pwquar_ends(g->quarantine, x->fingerprint));
-  pwgate_note_suspect(g, x->fingerprint, news, "seen");
+  pw_quar_change news =
+      pwquar_crashed(g->quarantine, x->fingerprint, x->t->start_hash, now);
+  pwexi_log(x, PWTRACE_FAIL, "ended-under",
+            "target=%s sign=%016llx began=%d ends=%d", x->t->id,
+            (unsigned long long)x->fingerprint, x->has_begun,
+            pwquar_crashes(g->quarantine, x->fingerprint));
+  pwgate_log_suspect(g, x->fingerprint, news, "seen");
 }
 
-void pwexi_note_dark(pw_exchange *x, int64_t now) {
+void pwexi_note_unresponsive(pw_exchange *x, int64_t now) {
   if (x->t->is_silent || x->t->is_gone) { /* control reports it, too */
-    pwexi_note_ended(x, now);
+    pwexi_note_crashed(x, now);
     return;
   }
-  pwdark_note(&x->g->unresponsive, x->fingerprint, x->t->start_hash, now);
-  pwexi_note(x, PWTRACE_FAIL, "dark-under", "target=%s sign=%016llx", x->t->id,
-             (unsigned long long)x->fingerprint);
+  pwunresponsive_note(&x->g->unresponsive, x->fingerprint, x->t->start_hash,
+                      now);
+  pwexi_log(x, PWTRACE_FAIL, "dark-under", "target=%s sign=%016llx", x->t->id,
+            (unsigned long long)x->fingerprint);
 }
 
 void pwexi_note_answered(pw_exchange *x, int64_t now) {
-  pw_quar_news news = pwquar_answered(x->g->quarantine, x->fingerprint, now);
-  if (news != PWQUAR_OLD)
-    pwgate_note_suspect(x->g, x->fingerprint, news, "seen");
+  pw_quar_change news = pwquar_answered(x->g->quarantine, x->fingerprint, now);
+  if (news != PWQUAR_UNCHANGED)
+    pwgate_log_suspect(x->g, x->fingerprint, news, "seen");
 }
 
 int pwexi_end_quarantined(pw_exchange *x, int64_t now) {
@@ -51,16 +52,16 @@
     return 0;
   char why[80];
   snprintf(why, sizeof why, "%d targets crashed while running it; sign=%016llx",
-           pwquar_ends(g->quarantine, x->fingerprint),
+           pwquar_crashes(g->quarantine, x->fingerprint),
            (unsigned long long)x->fingerprint);
   pwcount_add(g->p->counters, PWC_QUARANTINE_REFUSED, 1);
-  pwexi_give_up(x, PW_E_QUARANTINED, why, left);
+  pwexi_fail(x, PW_E_QUARANTINED, why, left);
   return 1;
 }
 
 static int spend_retry(pw_exchange *x, int64_t now) {
   pw_retries *b = &x->service_state->retries;
-  if (pwretries_spend(b, pwlink_gateways(x->g->link), now)) {
+  if (pwretries_spend(b, pwlink_gateway_count(x->g->link), now)) {
     pwcount_add(x->g->p->counters, PWC_RETRIES, 1);
     return 1;
   }
@@ -69,11 +70,11 @@
 }
 
 void pwexi_retry(pw_exchange *x, const char *why, int may_have_run) {
-  pwexi_note(x, PWTRACE_FAIL, x->has_begun ? "resumed" : "retried",
-             "target=%s why=\"%s\" ran=%d last=%.*s", x->t ? x->t->id : "-",
-             why, may_have_run, (int)x->nlast_event, x->last_event);
-  pwexi_let_go(x);
-  pwexi_place(x);
+  pwexi_log(x, PWTRACE_FAIL, x->has_begun ? "resumed" : "retried",
+            "target=%s why=\"%s\" ran=%d last=%.*s", x->t ? x->t->id : "-", why,
+            may_have_run, (int)x->nlast_event, x->last_event);
+  pwexi_release(x);
+  pwexi_dispatch(x);
 }
 
 int pwexi_may_repeat(pw_exchange *x, int64_t now) {
@@ -81,37 +82,37 @@
          spend_retry(x, now);
 }
 
-void pwexi_unknown(pw_exchange *x, const char *why) {
+void pwexi_fail_unknown(pw_exchange *x, const char *why) {
   int64_t now = pwclock_ms();
   if (pwexi_may_repeat(x, now))
     pwexi_retry(x, why, 1);
   else
-    pwexi_give_up(x, PW_E_UNKNOWN, why, 0);
+    pwexi_fail(x, PW_E_UNKNOWN, why, 0);
 }
 
 /* Whether the target that rejected the request had a free slot, by the load in its answer or else by the
 ** load known here. */
 static int had_free_slot(const pw_exchange *x) {
-  const pw_told *told = &x->answer_info;
-  if (told->has_load)
-    return pwreject_had_room(told->running + told->waiting, told->slots);
+  const pw_answer_info *info = &x->answer_info;
+  if (info->has_load)
+    return pwreject_had_room(info->running + info->waiting, info->slots);
   return pwreject_had_room(x->t->inflight - 1 + x->t->others, x->t->slots);
 }
 
 static void record_rejection(pw_exchange *x, int64_t now) {
   int room = had_free_slot(x);
-  pwexi_note(
+  pwexi_log(
       x, PWTRACE_FAIL, "turned-away",
       "target=%s status=%d hold_off_ms=%lld leaving=%d load=%d+%d room=%d",
       x->t->id, x->status, (long long)x->answer_info.hold_off_ms,
       x->answer_info.is_leaving, x->t->inflight, x->t->others, room);
   if (x->status == HTTP_STATUS_MISDIRECTED_REQUEST)
-    pwfleet_forget(x->t, now);
+    pwfleet_mark_gone(x->t, now);
   else
     pwfleet_rejected(x->t, room, now);
 }
 
-void pwexi_not_run(pw_exchange *x) {
+void pwexi_handle_not_run(pw_exchange *x) {
   int64_t now = pwclock_ms();
   record_rejection(x, now);
   x->runs--;
@@ -121,22 +122,22 @@
   if (x->hops++ < HOPS_MAX && pwexi_time_left(x) > 0 && spend_retry(x, now))
     pwexi_retry(x, "the target did not run it", 0);
   else
-    pwexi_give_up(x, PW_E_BUSY,
-                  "the target rejected the request, and no retry was allowed",
-                  PWEX_RETRY_NO_TARGET_MS);
+    pwexi_fail(x, PW_E_BUSY,
+               "the target rejected the request, and no retry was allowed",
+               PWEX_RETRY_NO_TARGET_MS);
 }
 
 /* The connection could not be made, so nothing was sent: another target is tried, unless
 ** earlier attempts that may have run have used up the route's attempts. */
 static void handle_unreached(pw_exchange *x, int64_t now) {
-  pwfleet_unreached(x->t, now);
+  pwfleet_connect_failed(x->t, now);
   if (x->runs < x->route->attempts &&
       x->connect_failures++ < CONNECT_FAILURES_MAX)
     pwexi_retry(x, "no connection to the target", 0);
   else
-    pwexi_give_up(x, PW_E_CONNECT,
-                  "no connection could be made to any target tried",
-                  PWEX_RETRY_NO_TARGET_MS);
+    pwexi_fail(x, PW_E_CONNECT,
+               "no connection could be made to any target tried",
+               PWEX_RETRY_NO_TARGET_MS);
 }
 
 void pwexchange_failed(pw_exchange *x, pw_tcp_end how, int unused) {
@@ -146,7 +147,7 @@
     handle_unreached(x, now);
     return;
   }
-  pwexi_note_ended(x, now);
+  pwexi_note_crashed(x, now);
   if (pwexi_end_quarantined(x, now))
     return;
   if (!unused)
@@ -160,7 +161,7 @@
     if (pwexi_send(x) == 0)
       return;
   }
-  pwexi_unknown(x, how == PWTCP_EOF ? "the target closed" : "reset");
+  pwexi_fail_unknown(x, how == PWTCP_EOF ? "the target closed" : "reset");
 }
 
 /* Whether the target has had the request for longer than a healthy one needs. Streams produce events
@@ -169,7 +170,7 @@
   const pw_gate_route *r = pwgate_route(x->g, x->route->name);
   double baseline_ms =
       r && !x->route->is_stream ? BASELINE_TIMES * r->answer_ms : 0;
-  return (double)pwexi_at_target(x, now) >=
+  return (double)pwexi_target_ms(x, now) >=
          (baseline_ms > OVERDUE_MS ? baseline_ms : OVERDUE_MS);
 }
 
@@ -182,12 +183,12 @@
 /* Retries a request elsewhere while there is time if its target is unresponsive. One that may not be
 ** retried waits for its time-out. */
 static void check_stall(pw_exchange *x, int64_t now) {
-  if (!x->u || !x->is_sent || x->is_paused || !pwfleet_is_dark(x->t, now) ||
-      !is_overdue(x, now) || !may_retry_elsewhere(x, now) ||
-      !pwexi_may_repeat(x, now))
+  if (!x->u || !x->is_sent || x->is_paused ||
+      !pwfleet_is_unresponsive(x->t, now) || !is_overdue(x, now) ||
+      !may_retry_elsewhere(x, now) || !pwexi_may_repeat(x, now))
     return;
-  pwfleet_unreached(x->t, now);
-  pwexi_note_dark(x, now);
+  pwfleet_connect_failed(x->t, now);
+  pwexi_note_unresponsive(x, now);
   pw_upconn *u = x->u;
   x->u = NULL;
   pwupconn_cancel(u);
--- a/packages/gateway/pwexint.h
+++ b/packages/gateway/pwexint.h
@@ -1,15 +1,15 @@
 /* pwexint.h: state of one exchange, private to pwexchange.c, pwexsend.c, pwexfail.c,
-** pwexseen.c, pwevents.c and pwunderway.c. */
+** pwexrecord.c, pwevents.c and pwinflight.c. */
 #ifndef PWEXINT_H
 #define PWEXINT_H
 
+#include "pwfingerprint.h"
 #include "pwgate.h"
-#include "pwsign.h"
 #include "pwtrace.h"
 
 #define PWEX_TRIED_MAX 8
-#define PWEX_HELD_MAX (4 * 1024 * 1024) /* bytes buffered of one answer */
-#define PWEX_EVENT_ID 64                /* longest event id, in bytes */
+#define PWEX_BUFFER_MAX (4 * 1024 * 1024) /* bytes buffered of one answer */
+#define PWEX_EVENT_ID 64                  /* longest event id, in bytes */
 
 /* Slots are not short while more than this share of requests gets one: then
 ** hardly any caller has to come back. */
@@ -27,7 +27,7 @@
   const pw_site_service *service;
   const pw_site_workspace *workspace; /* or NULL */
   pw_gate_service *service_state;
-  pw_ask ask;
+  pw_request_info ask;
   uint64_t fingerprint; /* hash of the request's content, without its id */
   int64_t arrived, deadline_at, timeout_at; /* ms */
   ev_timer timer;
@@ -66,10 +66,10 @@
   int needs_new_conn; /* sent again to the same target, not over a pooled connection */
 
   /* answer */
-  pw_told answer_info;
+  pw_answer_info answer_info;
   int status;
   int is_event_stream; /* forwarded event by event */
-  int is_too_large;    /* larger than PWEX_HELD_MAX */
+  int is_too_large;    /* larger than PWEX_BUFFER_MAX */
   int has_begun;       /* the caller has been sent the head */
   int is_paused;       /* the caller reads too slowly */
   pw_buf headers;      /* for the caller */
@@ -79,18 +79,18 @@
 };
 
 /* Logs an event of this request. */
-void pwexi_note(const pw_exchange *x, pw_trace_kind kind, const char *event,
-                const char *fmt, ...) __attribute__((format(printf, 4, 5)));
+void pwexi_log(const pw_exchange *x, pw_trace_kind kind, const char *event,
+               const char *fmt, ...) __attribute__((format(printf, 4, 5)));
 
 /* Records the latency of a stage. */
 void pwexi_observe(const pw_exchange *x, pw_stage stage, int64_t ms);
 
 /* Releases the current target. */
-void pwexi_let_go(pw_exchange *x);
+void pwexi_release(pw_exchange *x);
 
 /* Ms for which the current target has had the request at time `at`, not counting the time for which
 ** this process was stalled. */
-int64_t pwexi_at_target(const pw_exchange *x, int64_t at);
+int64_t pwexi_target_ms(const pw_exchange *x, int64_t at);
 
 /* Ms until the caller's deadline or the route's time-out, whichever is first. */
 int64_t pwexi_time_left(const pw_exchange *x);
@@ -98,13 +98,13 @@
 /* Ends the exchange with an error code, or by breaking off an answer that has begun. */
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms);
-void pwexi_break(pw_exchange *x, const char *why);
+void pwexi_abort(pw_exchange *x, const char *why);
 
 /* Ends a failed exchange by what is known of it: breaks off an answer that has begun, reports an unknown
 ** outcome if the request may have run, and else refuses it with `code`, which promises that the request
 ** did not run. */
-void pwexi_give_up(pw_exchange *x, pw_code code, const char *why,
-                   int64_t retry_ms);
+void pwexi_fail(pw_exchange *x, pw_code code, const char *why,
+                int64_t retry_ms);
 
 /* Ends an exchange whose time was over a while ago, as after the instance was suspended. Returns whether
 ** the exchange was ended. */
@@ -113,27 +113,27 @@
 /* --- pwexsend.c --- */
 
 /* Picks a target and sends the request there, or ends it. */
-void pwexi_place(pw_exchange *x);
+void pwexi_dispatch(pw_exchange *x);
 
 /* Sends the request to x->t; -1: no connection can be made. */
 int pwexi_send(pw_exchange *x);
 
-/* --- pwexseen.c --- */
+/* --- pwexrecord.c --- */
 
 /* Counts a failure of the target, or an answer that came too late, against the version of the target. */
-void pwexi_seen_bad(const pw_exchange *x);
+void pwexi_record_bad(const pw_exchange *x);
 
 /* Counts a successful answer, complete at `now`, for the version of its target; a slow one against it. */
-void pwexi_seen_good(const pw_exchange *x, int64_t now);
+void pwexi_record_good(const pw_exchange *x, int64_t now);
 
 /* --- pwexfail.c --- */
 
 /* The target crashed while it had the request. */
-void pwexi_note_ended(pw_exchange *x, int64_t now);
+void pwexi_note_crashed(pw_exchange *x, int64_t now);
 
 /* The target became unresponsive while it had the request, which may also be because the request takes
 ** long. */
-void pwexi_note_dark(pw_exchange *x, int64_t now);
+void pwexi_note_unresponsive(pw_exchange *x, int64_t now);
 
 /* The target answered with success, so it did not crash while running the request. An error answer
 ** proves nothing: that target may not have begun to run it. */
@@ -150,18 +150,18 @@
 int pwexi_may_repeat(pw_exchange *x, int64_t now);
 
 /* A failure after which the request may have run: retries it, or ends it. */
-void pwexi_unknown(pw_exchange *x, const char *why);
+void pwexi_fail_unknown(pw_exchange *x, const char *why);
 
 /* The target proved that it did not run the request: retries it, or ends it. */
-void pwexi_not_run(pw_exchange *x);
+void pwexi_handle_not_run(pw_exchange *x);
 
 /* --- pwevents.c --- */
 
 /* Takes bytes of a stream and forwards the events that are complete. */
-void pwexi_events(pw_exchange *x, const char *data, size_t n);
+void pwexi_forward_events(pw_exchange *x, const char *data, size_t n);
 
 /* Forwards bytes to the caller, after the head. */
-void pwexi_pass(pw_exchange *x, const char *data, size_t n);
+void pwexi_forward(pw_exchange *x, const char *data, size_t n);
 
 /* Sends the head of the answer to the caller. */
 void pwexi_begin_answer(pw_exchange *x);
--- a/packages/gateway/pwexseen.c
+++ b/packages/gateway/pwexrecord.c
@@ -1,4 +1,4 @@
-/* pwexseen.c: counts answers for or against the version of their target during a rollout. Failures of
+/* pwexrecord.c: counts answers for or against the version of their target during a rollout. Failures of
 ** the target, and answers much slower than the baseline of their route, count against it. */
 #include "pwexint.h"
 
@@ -12,7 +12,7 @@
     pwversions_note(x->g->versions, x->t, x->route->name, is_bad);
 }
 
-void pwexi_seen_bad(const pw_exchange *x) {
+void pwexi_record_bad(const pw_exchange *x) {
   record(x, 1);
 }
 
@@ -21,7 +21,7 @@
 ** first. 0: unknown. */
 static double pace_of(const pw_exchange *x, int64_t now) {
   if (!x->is_event_stream)
-    return (double)pwexi_at_target(x, now);
+    return (double)pwexi_target_ms(x, now);
   int was_stalled = x->g->tcp.lag.lost_ms != x->sent_stalled_ms;
   if (x->nchunks < CHUNKS_LEAST || x->is_paused || was_stalled)
     return 0;
@@ -30,7 +30,7 @@
 
 static int is_late(const pw_exchange *x) {
   return x->is_event_stream && x->route->goal_ms > 0 &&
-         pwexi_at_target(x, x->first_forwarded_at) > x->route->goal_ms;
+         pwexi_target_ms(x, x->first_forwarded_at) > x->route->goal_ms;
 }
 
 /* Whether the target was in its cold start, in which every version is slow. */
@@ -38,13 +38,13 @@
   return x->t->cold.until > x->sent_at;
 }
 
-void pwexi_seen_good(const pw_exchange *x, int64_t now) {
+void pwexi_record_good(const pw_exchange *x, int64_t now) {
   pw_gate_route *r = pwgate_route(x->g, x->route->name);
   double ms = pace_of(x, now);
   if (!r || !x->t)
     return;
   record(x, !is_cold(x) && (is_late(x) || pwcanary_is_slow(ms, r->answer_ms)));
-  if (ms <= 0 || x->t->side == PWFLEET_TO)
+  if (ms <= 0 || x->t->side == PWFLEET_NEW_VERSION)
     return;
   r->answer_ms +=
       (r->answer_ms > 0 ? BASELINE_WEIGHT : 1) * (ms - r->answer_ms);
--- a/packages/gateway/pwexsend.c
+++ b/packages/gateway/pwexsend.c
@@ -20,7 +20,7 @@
             m->url);
   for (int i = 0; i < m->nheaders; i++) {
     const pw_h1_header *h = &m->header[i];
-    if (!pwh1_is_hop(m, h) && x->g->dialect->passes(h))
+    if (!pwh1_is_hop_by_hop(m, h) && x->g->dialect->forwards_header(h))
       pwh1_write(out, h);
   }
   pw_forward f = {.target = x->t->id,
@@ -57,21 +57,21 @@
 }
 
 /* Number of leading parts that a prompt may share with others; its last part is its own. */
-static int shared_part_count(const pw_ask *ask) {
+static int shared_part_count(const pw_request_info *ask) {
   return ask->nparts > 1 ? ask->nparts - 1 : ask->nparts;
 }
 
-static uint64_t prompt_key(const pw_ask *ask) {
+static uint64_t prompt_key(const pw_request_info *ask) {
   int n = shared_part_count(ask);
   return n ? ask->part[n - 1].id : 0;
 }
 
 /* Short hash of the target that has the longest known shorter prefix of the prompt cached; 0: none
 ** is known. */
-static uint32_t find_prefix(const pw_gate *g, const pw_ask *ask, int64_t now,
-                            int64_t keep) {
+static uint32_t find_prefix(const pw_gate *g, const pw_request_info *ask,
+                            int64_t now, int64_t keep) {
   for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
-    uint32_t at = pwwhere_find(g->affinity, ask->part[i].id, now, keep);
+    uint32_t at = pwaffinity_find(g->affinity, ask->part[i].id, now, keep);
     if (at)
       return at;
   }
@@ -80,13 +80,13 @@
 
 /* Records that the target has all prefixes of the prompt cached. Other gateways are told only of a prefix
 ** that had no known target, since any one target will do. */
-static void note_prefixes(pw_gate *g, const pw_ask *ask, uint32_t target,
-                          int64_t now, int64_t keep) {
+static void note_prefixes(pw_gate *g, const pw_request_info *ask,
+                          uint32_t target, int64_t now, int64_t keep) {
   for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
     uint64_t key = ask->part[i].id;
-    if (!pwwhere_find(g->affinity, key, now, keep))
-      pwgossip_moved(g->gossip, key, target);
-    pwwhere_note(g->affinity, key, target, now);
+    if (!pwaffinity_find(g->affinity, key, now, keep))
+      pwgossip_prompt_moved(g->gossip, key, target);
+    pwaffinity_note(g->affinity, key, target, now);
   }
 }
 
@@ -108,7 +108,7 @@
 static double demand_share(const pw_exchange *x, int64_t now) {
   double mine = pwshare_rate(&x->service_state->share, now);
   double all = mine + x->service_state->others_rate;
-  return mine > 0 ? mine / all : 1.0 / pwlink_gateways(x->g->link);
+  return mine > 0 ? mine / all : 1.0 / pwlink_gateway_count(x->g->link);
 }
 
 /* This gateway's quota of the slots of a service. */
@@ -120,20 +120,19 @@
 static quota quota_of(const pw_exchange *x, int64_t now) {
   quota p = {.sum = pwfleet_sum(x->g->fleet, x->service->name, x->side, now)};
   double mine = pwshare_rate(&x->service_state->share, now);
-  double reserved = pwplaces_reserve(&x->service_state->places, x->urgency,
-                                     x->is_deprioritized);
+  double reserved = pwshed_reserve(&x->service_state->places, x->urgency,
+                                   x->is_deprioritized);
   if (!x->service->is_engine &&
       p.sum.work_ms > 0) /* counts the targets' queues, too */
     p.sum.slots *= 1 + max_target_wait_ms(x) / p.sum.work_ms;
-  p.slots =
-      pwshare_places(mine, mine + x->service_state->others_rate, p.sum.slots,
-                     p.sum.inflight + p.sum.others, reserved);
+  p.slots = pwshare_slots(mine, mine + x->service_state->others_rate,
+                          p.sum.slots, p.sum.inflight + p.sum.others, reserved);
   return p;
 }
 
 /* Whether this gateway has used up its quota. A fraction of a slot is granted with that probability. */
 static int is_quota_used(const pw_exchange *x, const quota *p) {
-  return p->sum.inflight + pwgate_draw(x->g) > p->slots;
+  return p->sum.inflight + pwgate_random(x->g) > p->slots;
 }
 
 /* Whether the request is refused even if a target is free. Repeats to engines are not refused as
@@ -144,7 +143,7 @@
 static int must_refuse(const pw_exchange *x, const quota *p) {
   int is_refused_repeat =
       x->is_deprioritized && !x->service->is_engine &&
-      !pwplaces_may_return(&x->service_state->places, pwgate_draw(x->g));
+      !pwshed_may_retry(&x->service_state->places, pwgate_random(x->g));
   return is_refused_repeat || is_quota_used(x, p);
 }
 
@@ -152,7 +151,7 @@
 ** target accepts. 0: no limit. */
 static int connection_limit(const pw_exchange *x) {
   int all = x->service->max_conns;
-  int mine = all / pwlink_gateways(x->g->link);
+  int mine = all / pwlink_gateway_count(x->g->link);
   return all > 0 && mine < CONNECTIONS_LEAST ? CONNECTIONS_LEAST : mine;
 }
 
@@ -160,9 +159,10 @@
 ** short: then the requests that such targets do accept are needed more than retries. */
 static int avoids_rejections(const pw_exchange *x, int64_t now) {
   pw_gate *g = x->g;
-  return pwplaces_share(&x->service_state->places) > PWEX_CALM_SHARE &&
+  return pwshed_admitted_share(&x->service_state->places) > PWEX_CALM_SHARE &&
          pwretries_is_scarce(&x->service_state->retries,
-                             pwlink_gateways(g->link), pwgate_draw(g), now);
+                             pwlink_gateway_count(g->link), pwgate_random(g),
+                             now);
 }
 
 /* Load bound of one target. It is higher where few requests reach a target between two load reports of the
@@ -183,22 +183,23 @@
   int is_sticky = x->route->is_sticky && x->ask.nparts > 0;
   uint64_t key = prompt_key(&x->ask);
   int64_t keep = (int64_t)(g->p->set->gateway_keep * MS_PER_S);
-  pw_fleet_ask ask = {
+  pw_fleet_criteria ask = {
       .service = x->service->name,
       .side = x->side,
       .how = g->pick_how,
       .is_sticky = is_sticky,
       .key = key,
-      .stays = is_new(x) && x->service->is_engine,
-      .last = is_sticky ? pwwhere_find(g->affinity, key, now, keep) : 0,
-      .beginning = is_sticky ? find_prefix(g, &x->ask, now, keep) : 0,
+      .home_only = is_new(x) && x->service->is_engine,
+      .last_target =
+          is_sticky ? pwaffinity_find(g->affinity, key, now, keep) : 0,
+      .prefix_target = is_sticky ? find_prefix(g, &x->ask, now, keep) : 0,
       .wait_ms = max_target_wait_ms(x),
-      .draw = pwgate_draw(g),
+      .draw = pwgate_random(g),
       .bound = bound_of(x, p),
       .cold = {x->service->cold_ms, x->service->cold_per_s},
       .part = demand_share(x, now),
       .conns = connection_limit(x),
-      .spares_retries = avoids_rejections(x, now),
+      .save_retries = avoids_rejections(x, now),
       .tried = x->tried,
       .ntried = x->ntried};
   pw_fleet_picked got = pwfleet_pick(g->fleet, &ask, now);
@@ -207,10 +208,10 @@
   if (!got.target)
     return 0;
   if (is_sticky) {
-    pwwhere_note(g->affinity, key, got.target->short_hash, now);
+    pwaffinity_note(g->affinity, key, got.target->short_hash, now);
     note_prefixes(g, &x->ask, got.target->short_hash, now, keep);
     if (!got.is_home)
-      pwgossip_moved(g->gossip, key, got.target->short_hash);
+      pwgossip_prompt_moved(g->gossip, key, got.target->short_hash);
   }
   return 1;
 }
@@ -223,22 +224,22 @@
       "no slot is free: urgency %d%s, %.0f%% of requests get one; in flight "
       "%.0f of %.1f here, %.0f of %.0f in all",
       x->urgency, x->is_deprioritized ? " (repeat)" : "",
-      100 * pwplaces_share(&x->service_state->places), p->sum.inflight,
+      100 * pwshed_admitted_share(&x->service_state->places), p->sum.inflight,
       p->slots, p->sum.inflight + p->sum.others, p->sum.slots);
   pwcount_add(x->g->p->counters, PWC_GW_FULL, 1);
   /* Closes the connection so that the caller may come back at another gateway, unless that would lose
   ** requests that it has pipelined behind this one. */
   x->caller->close_next = !pwconn_has_more(x->caller);
-  pwexi_refuse(
-      x, PW_E_BUSY, why,
-      pwplaces_retry(pwexi_time_left(x), x->retry_known_ms, pwgate_draw(x->g)));
+  pwexi_refuse(x, PW_E_BUSY, why,
+               pwshed_retry_ms(pwexi_time_left(x), x->retry_known_ms,
+                               pwgate_random(x->g)));
 }
 
 /* Refuses a request because no target is usable; the caller is told when the first one will be. */
 static void refuse_no_target(pw_exchange *x, int64_t now) {
   int64_t left = pwfleet_held_off(x->g->fleet, x->service->name, now);
   if (left > 0)
-    pwexi_refuse(x, PW_E_HELD_OFF,
+    pwexi_refuse(x, PW_E_HOLD_OFF,
                  "all targets of the service have asked for a hold-off", left);
   else
     pwexi_refuse(x, PW_E_NO_TARGET, "no usable target of the service is known",
@@ -249,10 +250,10 @@
   const pw_target *t = x->t;
   if (x->ntried == 1)
     pwexi_observe(x, PWSTAGE_QUEUE, x->sent_at - x->arrived);
-  pwexi_note(x, PWTRACE_WELL, "placed",
-             "target=%s load=%d+%d n=%d key=%llx fetch=%s", t->id, t->inflight,
-             t->others, x->ntried, (unsigned long long)prompt_key(&x->ask),
-             x->holder ? x->holder->id : "-");
+  pwexi_log(x, PWTRACE_ROUTINE, "placed",
+            "target=%s load=%d+%d n=%d key=%llx fetch=%s", t->id, t->inflight,
+            t->others, x->ntried, (unsigned long long)prompt_key(&x->ask),
+            x->holder ? x->holder->id : "-");
   x->holder = NULL; /* no reference was taken */
 }
 
@@ -261,13 +262,13 @@
   while (pwexi_time_left(x) > 0 && x->ntried < PWEX_TRIED_MAX && pick(x, p)) {
     x->needs_new_conn = 0;
     x->t->inflight++;
-    x->tried[x->ntried++] = pwfleet_hold(x->t);
+    x->tried[x->ntried++] = pwfleet_retain(x->t);
     pwcount_add(x->g->p->counters, PWC_ATTEMPTS, 1);
     if (pwexi_send(x) == 0) {
       log_dispatched(x);
       return 1;
     }
-    pwexi_let_go(x); /* out of file descriptors */
+    pwexi_release(x); /* out of file descriptors */
   }
   return 0;
 }
@@ -276,9 +277,9 @@
 ** one. */
 static void choose_side(pw_exchange *x) {
   if (x->ntried == 0)
-    x->side = pwfleet_side(x->g->fleet, x->service->name, pwgate_draw(x->g));
-  else if (x->side == PWFLEET_TO)
-    x->side = PWFLEET_FROM;
+    x->side = pwfleet_side(x->g->fleet, x->service->name, pwgate_random(x->g));
+  else if (x->side == PWFLEET_NEW_VERSION)
+    x->side = PWFLEET_OLD_VERSION;
 }
 
 /* Sends the request to a target of the chosen version if quota and slots allow it; 0: they do not. */
@@ -288,27 +289,27 @@
   return !(is_first_attempt && must_refuse(x, p)) && dispatch_now(x, p);
 }
 
-void pwexi_place(pw_exchange *x) {
+void pwexi_dispatch(pw_exchange *x) {
   int64_t now = pwclock_ms();
   int is_first_attempt = is_new(x);
   if (pwexi_end_quarantined(x, now))
     return;
   if (is_first_attempt)
-    pwshare_asked(&x->service_state->share, now);
+    pwshare_note(&x->service_state->share, now);
   quota p;
   choose_side(x);
   int is_dispatched = try_side(x, &p, is_first_attempt, now);
-  if (!is_dispatched && x->side == PWFLEET_TO) {
-    x->side = PWFLEET_FROM;
+  if (!is_dispatched && x->side == PWFLEET_NEW_VERSION) {
+    x->side = PWFLEET_OLD_VERSION;
     is_dispatched = try_side(x, &p, is_first_attempt, now);
   }
   if (is_first_attempt)
-    pwplaces_asked(&x->service_state->places, x->urgency, x->is_deprioritized,
-                   is_dispatched, now);
+    pwshed_note(&x->service_state->places, x->urgency, x->is_deprioritized,
+                is_dispatched, now);
   if (is_dispatched)
     return;
   if (x->has_begun || x->may_have_run)
-    pwexi_give_up(
+    pwexi_fail(
         x, PW_E_UNKNOWN,
         "no other target is available after an attempt that may have run", 0);
   else if (pwfleet_usable(x->g->fleet, x->service->name, now) == 0)
--- a/packages/gateway/pwgate.c
+++ b/packages/gateway/pwgate.c
@@ -3,7 +3,7 @@
 
 #include <stdlib.h>
 
-void pwgate_later(pw_gate *g, void *p) {
+void pwgate_free_later(pw_gate *g, void *p) {
   if (g->nto_free == g->to_free_cap) {
     g->to_free_cap = g->to_free_cap ? g->to_free_cap * 2 : 64;
     g->to_free = realloc(g->to_free, sizeof(void *) * g->to_free_cap);
@@ -14,7 +14,7 @@
 }
 
 /* xorshift64*. Not cryptographically secure; used for load spreading only. */
-double pwgate_draw(pw_gate *g) {
+double pwgate_random(pw_gate *g) {
   g->random ^= g->random >> 12;
   g->random ^= g->random << 25;
   g->random ^= g->random >> 27;
@@ -22,41 +22,41 @@
          9007199254740992.0;
 }
 
-void pwgate_note_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_news news,
-                         const char *how) {
+void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change news,
+                        const char *how) {
   pw_quarantine *q = g->quarantine;
-  pwcount_set(g->p->counters, PWC_ENDED_UNDER, pwquar_total(q));
+  pwcount_set(g->p->counters, PWC_CRASHED_UNDER, pwquar_total(q));
   pwcount_set(g->p->counters, PWC_QUARANTINED, pwquar_count(q));
   if (news == PWQUAR_BEGUN || news == PWQUAR_RELEASED)
     pwtrace_line(g->trace, PWTRACE_STATE, pwclock_ms(),
                  news == PWQUAR_BEGUN ? "quarantined" : "released",
                  "sign=%016llx ends=%d how=%s in_quarantine=%d",
-                 (unsigned long long)fingerprint, pwquar_ends(q, fingerprint),
-                 how, pwquar_count(q));
+                 (unsigned long long)fingerprint,
+                 pwquar_crashes(q, fingerprint), how, pwquar_count(q));
 }
 
 void pwgate_note_silent(pw_gate *g, const char *id, int64_t now) {
   const pw_target *t = pwfleet_find(g->fleet, id);
   uint64_t fingerprint;
-  while (t && (fingerprint =
-                   pwdark_take(&g->unresponsive, t->start_hash, now)) != 0) {
-    pw_quar_news news =
-        pwquar_ended(g->quarantine, fingerprint, t->start_hash, now);
+  while (t && (fingerprint = pwunresponsive_take(&g->unresponsive,
+                                                 t->start_hash, now)) != 0) {
+    pw_quar_change news =
+        pwquar_crashed(g->quarantine, fingerprint, t->start_hash, now);
     pwtrace_line(g->trace, PWTRACE_STATE, now, "ended-under",
                  "target=%s sign=%016llx dark=1 ends=%d", id,
                  (unsigned long long)fingerprint,
-                 pwquar_ends(g->quarantine, fingerprint));
-    pwgate_note_suspect(g, fingerprint, news, "seen");
+                 pwquar_crashes(g->quarantine, fingerprint));
+    pwgate_log_suspect(g, fingerprint, news, "seen");
   }
 }
 
-void pwgate_adopt(pw_gate *g, pw_site *site) {
+void pwgate_apply_site(pw_gate *g, pw_site *site) {
   uint64_t version = pwsite_version(site);
   if (g->site && version <= pwsite_version(g->site)) {
-    pwsite_drop(site);
+    pwsite_release(site);
     return;
   }
-  pwsite_drop(g->site);
+  pwsite_release(g->site);
   g->site = site;
   const pw_site_limits *l = pwsite_limits(site);
   g->callers.limits = (pw_conn_limits){.header_bytes = (size_t)l->header_bytes,
--- a/packages/gateway/pwgate.h
+++ b/packages/gateway/pwgate.h
@@ -6,22 +6,22 @@
 #ifndef PWGATE_H
 #define PWGATE_H
 
+#include "pwaffinity.h"
+#include "pwbuflimits.h"
 #include "pwconn.h"
-#include "pwdark.h"
 #include "pwdialect.h"
 #include "pwfleet.h"
-#include "pwhold.h"
-#include "pwplaces.h"
 #include "pwproc.h"
 #include "pwquarantine.h"
 #include "pwretries.h"
 #include "pwshare.h"
+#include "pwshed.h"
+#include "pwspike.h"
 #include "pwstage.h"
-#include "pwsurge.h"
 #include "pwtcp.h"
+#include "pwtimeouts.h"
 #include "pwtrace.h"
-#include "pwusual.h"
-#include "pwwhere.h"
+#include "pwunresponsive.h"
 
 typedef struct pw_gate pw_gate;
 typedef struct pw_exchange pw_exchange;
@@ -33,17 +33,17 @@
 typedef struct pw_gate_service {
   char name[PW_NAME_MAX];
   pw_retries retries;
-  pw_places places;   /* admission by urgency */
+  pw_shed places;     /* admission by urgency */
   pw_share share;     /* request rate at this gateway */
   double others_rate; /* request rate at all other gateways, per second */
-  pw_surge *surge;    /* load spikes of workspaces */
+  pw_spike *spike;    /* load spikes of workspaces */
   struct pw_gate_service *next;
 } pw_gate_service;
 
 /* Per-route state. */
 typedef struct pw_gate_route {
   char name[PW_NAME_MAX];
-  pw_usual baseline; /* of the deadlines that callers send */
+  pw_timeouts baseline; /* of the deadlines that callers send */
   /* Smoothed answer time, or time per chunk of a stream. 0: unknown. */
   double answer_ms;
   UT_hash_handle hh;
@@ -57,14 +57,14 @@
   pw_site *site; /* configuration in force; NULL: none received yet */
   pw_fleet *fleet;
   /* Which target has a prompt cached, by the id of its last shared part. */
-  pw_where *affinity;
+  pw_affinity *affinity;
   pw_link *link;
   pw_gossip *gossip;
   pw_trace *trace;
   pw_stages *stages;
   pw_quarantine *quarantine; /* requests whose targets crashed */
   /* Requests whose target is unresponsive but not yet known to have crashed. */
-  pw_dark unresponsive;
+  pw_unresponsive unresponsive;
   pw_versions *versions; /* services with a rollout in progress */
   pw_gate_service *services;
   pw_gate_route *routes;
@@ -77,11 +77,11 @@
   size_t awaiting_bytes; /* body bytes of the waiting requests */
   uint64_t random;
   int64_t started_at;
-  int64_t stop_at;      /* start of the planned stop, ms; 0: not stopping */
-  pw_pick_how pick_how; /* how targets are picked */
+  int64_t stop_at;         /* start of the planned stop, ms; 0: not stopping */
+  pw_pick_policy pick_how; /* how targets are picked */
   int is_ready;
   int64_t ticked_at, swept_at, checked_at;
-  pw_hold hold; /* current buffer limits per caller and target */
+  pw_buflimits hold; /* current buffer limits per caller and target */
   ev_timer tick;
   ev_prepare reap;
   void **to_free; /* memory to free at the next iteration of the event loop */
@@ -92,34 +92,34 @@
 
 /* Frees memory at the next iteration of the event loop, when no callback can
 ** refer to it any more. */
-void pwgate_later(pw_gate *g, void *p);
+void pwgate_free_later(pw_gate *g, void *p);
 
 /* Random number, uniform in [0, 1). */
-double pwgate_draw(pw_gate *g);
+double pwgate_random(pw_gate *g);
 
 /* Whether requests can be sent anywhere: a configuration and targets are known. */
 int pwgate_may_serve(pw_gate *g);
 
 /* Updates the counters and logs when a request enters or leaves quarantine. `how` is the
 ** source of the change: "seen" here, "told" by another gateway, or "kept" by a control instance. */
-void pwgate_note_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_news news,
-                         const char *how);
+void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change news,
+                        const char *how);
 
 /* Control reports a target silent or gone: the requests that it had when it became unresponsive
 ** are counted as requests whose target crashed. */
 void pwgate_note_silent(pw_gate *g, const char *id, int64_t now);
 
 /* Puts a newer configuration into force; drops one that is not newer. */
-void pwgate_adopt(pw_gate *g, pw_site *site);
+void pwgate_apply_site(pw_gate *g, pw_site *site);
 
-/* --- pwkept.c --- */
+/* --- pwgatestate.c --- */
 
 /* State of a service or route, created on first use. NULL: too many routes are tracked. */
 pw_gate_service *pwgate_service(pw_gate *g, const char *name);
 pw_gate_route *pwgate_route(pw_gate *g, const char *name);
 
 /* Frees the state of all services and routes. */
-void pwgate_forget(pw_gate *g);
+void pwgate_free_state(pw_gate *g);
 
 /* --- pwexchange.c --- */
 
@@ -127,7 +127,7 @@
 void pwexchange_begin(pw_conn *c);
 
 /* Begins the requests that waited for a configuration. */
-void pwexchange_go_on(pw_gate *g);
+void pwexchange_start_waiting(pw_gate *g);
 
 /* Ends requests whose time is over, and retries elsewhere those whose target is unresponsive. */
 void pwexchange_check(pw_gate *g, int64_t now);
@@ -139,29 +139,31 @@
 void pwexchange_stop(pw_exchange *x);
 
 /* Bytes buffered for the exchange, beside those of its caller's connection. */
-size_t pwexchange_held(const pw_exchange *x);
+size_t pwexchange_buffered(const pw_exchange *x);
 
 /* The caller has read all that was written to it. */
 void pwexchange_resume(void *exchange);
 
 /* Whether an answer belongs to an earlier request of the connection. Fills *told. */
-int pwexchange_is_surplus(const pw_exchange *x, const pw_h1 *m, pw_told *told);
+int pwexchange_is_stale(const pw_exchange *x, const pw_h1 *m,
+                        pw_answer_info *info);
 
 /* Events of the connection to the target: the request was sent; the answer's head, a piece of its
 ** body and its end were received. */
 void pwexchange_sent(pw_exchange *x);
-void pwexchange_head(pw_exchange *x, const pw_h1 *m, const pw_told *told);
+void pwexchange_head(pw_exchange *x, const pw_h1 *m,
+                     const pw_answer_info *info);
 void pwexchange_body(pw_exchange *x, const char *data, size_t n);
-void pwexchange_whole(pw_exchange *x);
+void pwexchange_complete(pw_exchange *x);
 
 /* The connection failed. `unused`: it was reused from the pool and the target has sent
 ** nothing over it since. */
 void pwexchange_failed(pw_exchange *x, pw_tcp_end how, int unused);
 
-/* --- pwunderway.c --- */
+/* --- pwinflight.c --- */
 
 /* Answers with a JSON list of the requests in flight, the oldest first. */
-void pwunderway_answer(pw_gate *g, pw_conn *c);
+void pwinflight_answer(pw_gate *g, pw_conn *c);
 
 /* --- pwupconn.c --- */
 
@@ -175,7 +177,7 @@
 void pwupconn_cancel(pw_upconn *u);
 
 /* Bytes buffered because the target has not read them yet. */
-size_t pwupconn_held(const pw_upconn *u);
+size_t pwupconn_buffered(const pw_upconn *u);
 
 /* Whether unread bytes of the answer, or its end, have arrived. */
 int pwupconn_is_readable(const pw_upconn *u);
@@ -189,7 +191,8 @@
 
 /* Applies what a target reports of itself in the headers of any answer: that it leaves, or that it
 ** asks for a hold-off. */
-void pwhint_heed(pw_gate *g, pw_target *t, int status, const pw_told *told);
+void pwhint_apply(pw_gate *g, pw_target *t, int status,
+                  const pw_answer_info *info);
 
 /* --- pwlink.c: control instances --- */
 
@@ -202,7 +205,7 @@
 int pwlink_is_current(const pw_link *l, int64_t now);
 
 /* Number of known gateways, this one included. */
-int pwlink_gateways(const pw_link *l);
+int pwlink_gateway_count(const pw_link *l);
 
 /* --- pwgossip.c: the other gateways --- */
 
@@ -210,10 +213,10 @@
 void pwgossip_free(pw_gossip *s);
 
 /* Sets the addresses of all gateways, "IP:PORT" each, as received from control. */
-void pwgossip_peers(pw_gossip *s, char **address, size_t n);
+void pwgossip_set_peers(pw_gossip *s, char **address, size_t n);
 
 /* Queues an announcement that a prompt was sent to a target other than its home. */
-void pwgossip_moved(pw_gossip *s, uint64_t key, uint32_t target);
+void pwgossip_prompt_moved(pw_gossip *s, uint64_t key, uint32_t target);
 
 /* Sends this gateway's loads to the others and sums up the loads received. */
 void pwgossip_tick(pw_gossip *s, int64_t now);
--- a/packages/gateway/pwkept.c
+++ b/packages/gateway/pwgatestate.c
@@ -1,4 +1,4 @@
-/* pwkept.c: per-service and per-route state of a gateway, which outlasts changes of the
+/* pwgatestate.c: per-service and per-route state of a gateway, which outlasts changes of the
 ** configuration. */
 #include "pwgate.h"
 
@@ -19,8 +19,8 @@
   pwretries_init(&s->retries, set->gateway_retry_ratio,
                  set->gateway_retry_slack,
                  (int64_t)(set->gateway_retry_window * MS_PER_S));
-  pwplaces_init(&s->places, pwclock_ms());
-  s->surge = pwsurge_new(pwclock_ms());
+  pwshed_init(&s->places, pwclock_ms());
+  s->spike = pwspike_new(pwclock_ms());
   s->next = g->services;
   g->services = s;
   return s;
@@ -37,7 +37,7 @@
   return r;
 }
 
-void pwgate_forget(pw_gate *g) {
+void pwgate_free_state(pw_gate *g) {
   pw_gate_route *r, *tmp;
   HASH_ITER(hh, g->routes, r, tmp) {
     HASH_DEL(g->routes, r);
@@ -46,7 +46,7 @@
   while (g->services) {
     pw_gate_service *s = g->services;
     g->services = s->next;
-    pwsurge_free(s->surge);
+    pwspike_free(s->spike);
     free(s);
   }
 }
--- a/packages/gateway/pwgateway.c
+++ b/packages/gateway/pwgateway.c
@@ -74,7 +74,7 @@
   pwcount_set(g->p->counters, PWC_GW_CLIENTS, g->callers.count);
   pwcount_set(g->p->counters, PWC_ACTIVE, g->nexchanges);
   pwcount_set(g->p->counters, PWC_GW_AWAITING, g->nawaiting);
-  pwcount_set(g->p->counters, PWC_GW_LEFT_OUT,
+  pwcount_set(g->p->counters, PWC_GW_LINES_DROPPED,
               (int64_t)pwtrace_dropped(g->trace));
   pwcount_render(g->p->counters, &b);
   pwstage_render(g->stages, &b);
@@ -88,7 +88,7 @@
   if (pwconn_path_is(c, "/metrics"))
     answer_metrics(c);
   else if (pwconn_path_is(c, "/v1/requests"))
-    pwunderway_answer(g, c);
+    pwinflight_answer(g, c);
   else if (!pwconn_path_is(c, g->dialect->ready_path))
     pwconn_refuse(c, PW_E_PATH, "", 0);
   else if (g->is_ready && !g->stop_at)
@@ -151,7 +151,7 @@
   int64_t since = now - g->stop_at;
   int64_t listen = STOP_LISTEN_MS < grace / 2 ? STOP_LISTEN_MS : grace / 2;
   if (since >= listen && g->callers.listening.fd >= 0) {
-    pwconns_unlisten(&g->callers);
+    pwconns_stop_listening(&g->callers);
     pwconns_close_idle(&g->callers);
   }
   return since >= grace - STOP_MARGIN_MS ||
@@ -179,10 +179,10 @@
 }
 
 static void sweep(pw_gate *g, int64_t now) {
-  pwconns_sweep(&g->callers, now);
-  pwconns_sweep(&g->ready, now);
+  pwconns_close_expired(&g->callers, now);
+  pwconns_close_expired(&g->ready, now);
   if (g->metrics.first)
-    pwconns_sweep(&g->metrics, now);
+    pwconns_close_expired(&g->metrics, now);
   sweep_targets(g, now);
   pwfleet_tick(g->fleet, now, NULL, NULL);
   pwquar_tick(g->quarantine, now);
@@ -192,16 +192,16 @@
 
 /* Sums up the buffered bytes and sets the limits for each caller and target by the rest. */
 static void check_buffers(pw_gate *g, int64_t now) {
-  size_t buffered = pwconns_check(&g->callers, now);
+  size_t buffered = pwconns_close_stalled(&g->callers, now);
   for (pw_conn *c = g->callers.first; c; c = c->next)
     if (c->state)
-      buffered += pwexchange_held(c->state);
-  g->hold = pwhold_limits(buffered, buffer_budget(g));
-  g->callers.ahead_max = g->hold.ahead;
+      buffered += pwexchange_buffered(c->state);
+  g->hold = pwbuflimits_of(buffered, buffer_budget(g));
+  g->callers.read_ahead_max = g->hold.ahead;
   g->callers.body_room = g->hold.body;
   g->callers.stall_ms = g->hold.stall_ms;
-  g->callers.stall_whole_ms = g->hold.stall_whole_ms;
-  pwcount_set(g->p->counters, PWC_GW_HELD, (int64_t)buffered);
+  g->callers.stall_complete_ms = g->hold.stall_complete_ms;
+  pwcount_set(g->p->counters, PWC_GW_BUFFERED, (int64_t)buffered);
   pwcount_set(g->p->counters, PWC_GW_STALLED, g->callers.nstalled);
 }
 
@@ -219,7 +219,7 @@
 ** unresponsive. */
 static void on_stall(void *arg, int64_t lost_ms) {
   pw_gate *g = arg;
-  pwfleet_excuse(g->fleet, lost_ms);
+  pwfleet_discount_stall(g->fleet, lost_ms);
 }
 
 /* Runs everything that decides by how long others have been silent. */
@@ -246,7 +246,7 @@
     run_checks(g, now);
   note_ready(g, now);
   if (g->awaiting && pwgate_may_serve(g))
-    pwexchange_go_on(g);
+    pwexchange_start_waiting(g);
   pwtrace_flush(g->trace, now);
   if (atomic_load(&g->p->stopping) && !g->stop_at)
     begin_stop(g, now);
@@ -260,18 +260,18 @@
     if (c->state)
       pwexchange_stop(c->state);
     else
-      pwconn_break(c);
+      pwconn_abort(c);
   }
   pwconns_end(&g->callers);
   pwconns_end(&g->ready);
   pwconns_end(&g->metrics);
 }
 
-static pw_pick_how pick_how_of(const char *place) {
+static pw_pick_policy pick_how_of(const char *place) {
   if (!strcmp(place, "load"))
     return PWPICK_BY_LOAD;
   if (!strcmp(place, "turn"))
-    return PWPICK_BY_TURN;
+    return PWPICK_BY_ROUND_ROBIN;
   return !strcmp(place, "hash") ? PWPICK_BY_HASH : PWPICK_BY_HOME;
 }
 
@@ -291,7 +291,7 @@
   randombytes_buf(&g.random, sizeof g.random);
   g.random |= 1;
   pwtcp_loop_init(&g.tcp, g.ev);
-  g.tcp.lag.turn_ms = STALL_MS;
+  g.tcp.lag.iteration_max_ms = STALL_MS;
   ev_prepare_init(&g.reap, on_reap);
   ev_timer_init(&g.tick, on_tick, TICK_S, TICK_S);
   g.reap.data = g.tick.data = &g;
@@ -301,13 +301,13 @@
   g.stages = pwstage_new();
   g.quarantine = pwquar_new();
   g.versions = pwversions_new(&g);
-  g.hold = pwhold_limits(0, buffer_budget(&g));
+  g.hold = pwbuflimits_of(0, buffer_budget(&g));
   g.fleet = pwfleet_new(p->set->availability_zone, p->set->gateway_beat,
                         (int64_t)(p->set->gateway_keep * MS_PER_S));
-  pwfleet_believe(g.fleet);
-  g.tcp.held_up = on_stall;
+  pwfleet_trust_updates(g.fleet);
+  g.tcp.on_stall = on_stall;
   g.tcp.arg = &g;
-  g.affinity = pwwhere_new();
+  g.affinity = pwaffinity_new();
   g.gossip = pwgossip_new(&g, err);
   g.link = g.gossip ? pwlink_new(&g, err) : NULL;
   if (g.link && listen_all(&g, err) == 0) {
@@ -324,9 +324,9 @@
   free(g.to_free);
   pwtcp_loop_free(&g.tcp);
   pwfleet_free(g.fleet);
-  pwwhere_free(g.affinity);
-  pwgate_forget(&g);
-  pwsite_drop(g.site);
+  pwaffinity_free(g.affinity);
+  pwgate_free_state(&g);
+  pwsite_release(g.site);
   pwtrace_free(g.trace);
   pwstage_free(g.stages);
   pwquar_free(g.quarantine);
--- a/packages/gateway/pwgossip.c
+++ b/packages/gateway/pwgossip.c
@@ -4,10 +4,10 @@
 #define _GNU_SOURCE
 #include "pwgate.h"
 
+#include "pwgossipmsg.h"
 #include "pwlog.h"
-#include "pwsight.h"
 #include "pwsuspects.h"
-#include "pwtold.h"
+#include "pwtopology.h"
 
 #include <errno.h>
 #include <stdlib.h>
@@ -31,26 +31,26 @@
 
 typedef struct peer {
   struct sockaddr_in addr;
-  pw_told_loads own; /* its own loads, as received */
-  pw_told_loads sum; /* the sum of its group, as received */
+  pw_gossip_loads own; /* its own loads, as received */
+  pw_gossip_loads sum; /* the sum of its group, as received */
 } peer;
 
 struct pw_gossip {
   pw_gate *g;
   int fd;
-  peer *peers;         /* [0] is this gateway itself */
-  pw_sight_peer *view; /* of each peer, for the choice of aggregators */
+  peer *peers;            /* [0] is this gateway itself */
+  pw_topology_peer *view; /* of each peer, for the choice of aggregators */
   int npeers;
   uint64_t seq;
   int64_t reported_at, summed_at;
   /* Prompts to announce: to the aggregator of the group, or from one to the other
   ** aggregators; and to the members of the group. */
-  pw_told_prompts prompts_up;
-  pw_told_prompts prompts_down;
-  pw_loads own;        /* as last reported */
-  pw_loads sum, all;   /* of the group, and of all gateways */
-  pw_loads fitted;     /* rows of the current message that fit into it */
-  pw_told_loads total; /* of all gateways, from the aggregator */
+  pw_gossip_prompts prompts_up;
+  pw_gossip_prompts prompts_down;
+  pw_loads own;          /* as last reported */
+  pw_loads sum, all;     /* of the group, and of all gateways */
+  pw_loads fitted;       /* rows of the current message that fit into it */
+  pw_gossip_loads total; /* of all gateways, from the aggregator */
   ev_io io;
 };
 
@@ -72,9 +72,9 @@
 
 /* Puts a peer at index `at` of the new lists, with its state if it is in the old ones. */
 static void move_peer(pw_gossip *s, const struct sockaddr_in *addr, peer *peers,
-                      pw_sight_peer *view, int at) {
+                      pw_topology_peer *view, int at) {
   int old = find(s, addr);
-  view[at] = (pw_sight_peer){.hash = hash_of(addr), .is_self = at == 0};
+  view[at] = (pw_topology_peer){.hash = hash_of(addr), .is_self = at == 0};
   peers[at].addr = *addr;
   if (old < 0)
     return;
@@ -85,16 +85,16 @@
 
 static void free_peers(pw_gossip *s) {
   for (int i = 0; i < s->npeers; i++) {
-    pwtold_free(&s->peers[i].own);
-    pwtold_free(&s->peers[i].sum);
+    pwgossipmsg_free(&s->peers[i].own);
+    pwgossipmsg_free(&s->peers[i].sum);
   }
   free(s->peers);
   free(s->view);
 }
 
-void pwgossip_peers(pw_gossip *s, char **address, size_t n) {
+void pwgossip_set_peers(pw_gossip *s, char **address, size_t n) {
   peer *peers = pw_alloc(sizeof *peers * (n + 1));
-  pw_sight_peer *view = pw_alloc(sizeof *view * (n + 1));
+  pw_topology_peer *view = pw_alloc(sizeof *view * (n + 1));
   struct sockaddr_in self = s->peers[0].addr;
   int count = 1;
   move_peer(s, &self, peers, view, 0);
@@ -111,7 +111,7 @@
 
 /* --- outgoing messages --- */
 
-static int is_fresh(const pw_told_loads *t, int64_t now) {
+static int is_fresh(const pw_gossip_loads *t, int64_t now) {
   return t->at && now - t->at <= STALE_MS;
 }
 
@@ -126,8 +126,8 @@
     pwloads_add(&s->own, t->short_hash, (uint32_t)t->inflight);
     pwloads_add(&s->own, t->reject_hash,
                 (uint32_t)pwreject_is_recent(&t->rejects, now));
-    pwloads_add(&s->own, t->miss_hash,
-                (uint32_t)pwreject_is_recent(&t->misses, now));
+    pwloads_add(&s->own, t->connect_failure_hash,
+                (uint32_t)pwreject_is_recent(&t->connect_failures, now));
   }
   for (pw_gate_service *one = s->g->services; one; one = one->next)
     pwloads_add(&s->own, key_of(one),
@@ -177,14 +177,14 @@
 ** than some thousand targets the rows of rejections would push loads out of the datagrams, and receivers
 ** would keep outdated loads for good. */
 static const pw_loads *fit_rows(pw_gossip *s, const pw_loads *loads) {
-  if (loads->n <= PWTOLD_ROWS)
+  if (loads->n <= PWGOSSIPMSG_ROWS)
     return loads;
   pw_loads rejections = {0};
   size_t at = 0;
   const pw_load_row *row;
   for (pw_target *t = pwfleet_first(s->g->fleet); t; t = t->hh.next) {
     pwloads_add(&rejections, t->reject_hash, 1);
-    pwloads_add(&rejections, t->miss_hash, 1);
+    pwloads_add(&rejections, t->connect_failure_hash, 1);
   }
   pwloads_clear(&s->fitted);
   while ((row = pwloads_next(loads, &at)) != NULL)
@@ -194,12 +194,12 @@
   return &s->fitted;
 }
 
-static void send_loads(pw_gossip *s, pw_told_kind kind, const pw_loads *loads,
-                       const pw_told_prompts *moved, const int *to, int n) {
+static void send_loads(pw_gossip *s, pw_gossip_kind kind, const pw_loads *loads,
+                       const pw_gossip_prompts *moved, const int *to, int n) {
   receivers l = {s, to, n};
   if (n)
-    pwtold_pack(kind, pwwire_incarnation(s->g->p->wire), &s->seq,
-                fit_rows(s, loads), moved, send_datagram, &l);
+    pwgossipmsg_pack(kind, pwwire_incarnation(s->g->p->wire), &s->seq,
+                     fit_rows(s, loads), moved, send_datagram, &l);
 }
 
 /* Sends the requests whose targets crashed. Every instance forwards all that it knows, so that the
@@ -207,9 +207,9 @@
 static void send_suspects(pw_gossip *s, const int *to, int n, int64_t now) {
   pw_suspects suspects;
   receivers l = {s, to, n};
-  if (n && pwsuspects_fill(&suspects, s->g->quarantine, now))
-    pwtold_pack_suspects(pwwire_incarnation(s->g->p->wire), suspects.list,
-                         suspects.n, send_datagram, &l);
+  if (n && pwsuspects_due(&suspects, s->g->quarantine, now))
+    pwgossipmsg_pack_suspects(pwwire_incarnation(s->g->p->wire), suspects.list,
+                              suspects.n, send_datagram, &l);
 }
 
 /* --- few gateways: direct exchange --- */
@@ -222,7 +222,7 @@
   int *to = pw_alloc(sizeof *to * (size_t)s->npeers);
   for (int i = 1; i < s->npeers; i++)
     to[i - 1] = i;
-  send_loads(s, PWTOLD_OWN, &s->own, &s->prompts_up, to, s->npeers - 1);
+  send_loads(s, PWGOSSIPMSG_OWN, &s->own, &s->prompts_up, to, s->npeers - 1);
   send_suspects(s, to, s->npeers - 1, now);
   free(to);
   s->prompts_up.n = s->prompts_down.n = 0;
@@ -230,7 +230,7 @@
   add_all(&s->all, &s->own);
   for (int i = 1; i < s->npeers; i++)
     if (is_fresh(&s->peers[i].own, now))
-      pwtold_add(&s->peers[i].own, &s->all);
+      pwgossipmsg_sum(&s->peers[i].own, &s->all);
   apply_loads(s, AGE_DIRECT_MS);
 }
 
@@ -238,7 +238,7 @@
 
 static int aggregator_of(const pw_gossip *s, uint32_t groups, uint32_t group,
                          int64_t now) {
-  return pwsight_first(s->view, s->npeers, groups, group, now);
+  return pwtopology_aggregator(s->view, s->npeers, groups, group, now);
 }
 
 static void report_loads(pw_gossip *s, int aggregator, int64_t now) {
@@ -246,10 +246,10 @@
     return;
   s->reported_at = now;
   count_own(s, now);
-  send_loads(s, PWTOLD_REPORT, &s->own, &s->prompts_up, &aggregator, 1);
+  send_loads(s, PWGOSSIPMSG_REPORT, &s->own, &s->prompts_up, &aggregator, 1);
   send_suspects(s, &aggregator, 1, now);
   s->prompts_up.n = 0;
-  pwsight_asked(&s->view[aggregator], now);
+  pwtopology_sent(&s->view[aggregator], now);
   /* Without an answer of the aggregator only the own loads are known. */
   if (!is_fresh(&s->total, now)) {
     pwloads_clear(&s->all);
@@ -272,7 +272,7 @@
 ** returns their number. */
 static int send_group_sum(pw_gossip *s, uint32_t groups, uint32_t own_group,
                           int is_aggregator, int *to, int64_t now) {
-  static const pw_told_prompts none = {.n = 0};
+  static const pw_gossip_prompts none = {.n = 0};
   int n = 0;
   for (uint32_t group = 0; group < groups; group++) {
     int aggregator = aggregator_of(s, groups, group, now);
@@ -280,10 +280,10 @@
       continue;
     to[n++] = aggregator;
     if (is_aggregator)
-      pwsight_asked(&s->view[aggregator], now);
+      pwtopology_sent(&s->view[aggregator], now);
   }
-  send_loads(s, PWTOLD_SUM, &s->sum, is_aggregator ? &s->prompts_up : &none, to,
-             n);
+  send_loads(s, PWGOSSIPMSG_SUM, &s->sum,
+             is_aggregator ? &s->prompts_up : &none, to, n);
   if (is_aggregator)
     s->prompts_up.n = 0;
   return n;
@@ -302,7 +302,7 @@
     add_all(&s->sum, &s->own);
   }
   for (int i = 0; i < n; i++)
-    pwtold_add(&s->peers[members[i]].own, &s->sum);
+    pwgossipmsg_sum(&s->peers[members[i]].own, &s->sum);
   if (is_aggregator || n)
     naggregators =
         send_group_sum(s, groups, own_group, is_aggregator, members + n, now);
@@ -311,40 +311,40 @@
     add_all(&s->all, &s->sum);
     for (int i = 1; i < s->npeers; i++)
       if (is_fresh(&s->peers[i].sum, now))
-        pwtold_add(&s->peers[i].sum, &s->all);
+        pwgossipmsg_sum(&s->peers[i].sum, &s->all);
     apply_loads(s, AGE_GROUPS_MS);
   }
-  send_loads(s, PWTOLD_TOTAL, &s->all, &s->prompts_down, members, n);
+  send_loads(s, PWGOSSIPMSG_TOTAL, &s->all, &s->prompts_down, members, n);
   send_suspects(s, members, n + naggregators, now);
   s->prompts_down.n = 0;
   free(members);
 }
 
 void pwgossip_tick(pw_gossip *s, int64_t now) {
-  uint32_t groups = pwsight_groups(s->npeers);
+  uint32_t groups = pwtopology_groups(s->npeers);
   if (groups == 1) {
     exchange_direct(s, now);
     return;
   }
-  uint32_t group = pwsight_group(s->view[0].hash, groups);
+  uint32_t group = pwtopology_group(s->view[0].hash, groups);
   int aggregator = aggregator_of(s, groups, group, now);
   if (aggregator > 0)
     report_loads(s, aggregator, now);
   aggregate(s, groups, group, aggregator == 0, now);
 }
 
-void pwgossip_moved(pw_gossip *s, uint64_t key, uint32_t target) {
-  pwtold_moved(&s->prompts_up, key, target);
-  pwtold_moved(&s->prompts_down, key, target);
+void pwgossip_prompt_moved(pw_gossip *s, uint64_t key, uint32_t target) {
+  pwgossipmsg_add_prompt(&s->prompts_up, key, target);
+  pwgossipmsg_add_prompt(&s->prompts_down, key, target);
 }
 
 /* --- incoming messages --- */
 
 static void handle_total(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
-  if (!pwtold_take(&s->total, m, now))
+  if (!pwgossipmsg_take(&s->total, m, now))
     return;
   pwloads_clear(&s->all);
-  pwtold_add(&s->total, &s->all);
+  pwgossipmsg_sum(&s->total, &s->all);
   apply_loads(s, AGE_GROUPS_MS);
 }
 
@@ -352,16 +352,16 @@
 ** group to the members of this one. */
 static void handle_prompts(pw_gossip *s, const Pw__Gossip *m, int64_t now) {
   for (size_t i = 0; i < m->n_keys && i < m->n_places; i++) {
-    pwwhere_note(s->g->affinity, m->keys[i], m->places[i], now);
-    if (m->kind == PWTOLD_REPORT)
-      pwtold_moved(&s->prompts_up, m->keys[i], m->places[i]);
-    if (m->kind == PWTOLD_REPORT || m->kind == PWTOLD_SUM)
-      pwtold_moved(&s->prompts_down, m->keys[i], m->places[i]);
+    pwaffinity_note(s->g->affinity, m->keys[i], m->places[i], now);
+    if (m->kind == PWGOSSIPMSG_REPORT)
+      pwgossipmsg_add_prompt(&s->prompts_up, m->keys[i], m->places[i]);
+    if (m->kind == PWGOSSIPMSG_REPORT || m->kind == PWGOSSIPMSG_SUM)
+      pwgossipmsg_add_prompt(&s->prompts_down, m->keys[i], m->places[i]);
   }
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news news) {
-  pwgate_note_suspect(arg, fingerprint, news, "told");
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change news) {
+  pwgate_log_suspect(arg, fingerprint, news, "told");
 }
 
 static void handle_message(pw_gossip *s, const struct sockaddr_in *from,
@@ -370,19 +370,19 @@
   int i = find(s, from);
   if (i <= 0)
     return;
-  if (m->kind == PWTOLD_SUSPECTS) {
-    pwsuspects_take(s->g->quarantine, m->suspects, m->n_suspects, now,
-                    on_suspect, s->g);
+  if (m->kind == PWGOSSIPMSG_SUSPECTS) {
+    pwsuspects_receive(s->g->quarantine, m->suspects, m->n_suspects, now,
+                       on_suspect, s->g);
     return;
   }
-  if (m->kind == PWTOLD_TOTAL || m->kind == PWTOLD_SUM)
-    pwsight_heard(&s->view[i]);
-  if (m->kind == PWTOLD_TOTAL)
+  if (m->kind == PWGOSSIPMSG_TOTAL || m->kind == PWGOSSIPMSG_SUM)
+    pwtopology_answered(&s->view[i]);
+  if (m->kind == PWGOSSIPMSG_TOTAL)
     handle_total(s, m, now);
-  else if (m->kind == PWTOLD_SUM)
-    pwtold_take(&s->peers[i].sum, m, now);
+  else if (m->kind == PWGOSSIPMSG_SUM)
+    pwgossipmsg_take(&s->peers[i].sum, m, now);
   else
-    pwtold_take(&s->peers[i].own, m, now);
+    pwgossipmsg_take(&s->peers[i].own, m, now);
   handle_prompts(s, m, now);
 }
 
@@ -390,7 +390,7 @@
   (void)ev;
   (void)events;
   pw_gossip *s = w->data;
-  uint8_t data[PWTOLD_BYTES];
+  uint8_t data[PWGOSSIPMSG_BYTES];
   struct sockaddr_in from = {0};
   socklen_t len = sizeof from;
   ssize_t n =
@@ -423,7 +423,7 @@
     return NULL;
   }
   s->peers[0].addr = self;
-  s->view[0] = (pw_sight_peer){.hash = hash_of(&self), .is_self = 1};
+  s->view[0] = (pw_topology_peer){.hash = hash_of(&self), .is_self = 1};
   ev_io_init(&s->io, on_io, s->fd, EV_READ);
   s->io.data = s;
   ev_io_start(g->ev, &s->io);
@@ -438,7 +438,7 @@
   if (s->fd >= 0)
     close(s->fd);
   free_peers(s);
-  pwtold_free(&s->total);
+  pwgossipmsg_free(&s->total);
   pwloads_free(&s->own);
   pwloads_free(&s->sum);
   pwloads_free(&s->all);
--- a/packages/gateway/pwtold.c
+++ b/packages/gateway/pwgossipmsg.c
@@ -1,5 +1,5 @@
-/* pwtold.c: packs and unpacks the messages between gateways. */
-#include "pwtold.h"
+/* pwgossipmsg.c: packs and unpacks the messages between gateways. */
+#include "pwgossipmsg.h"
 
 #include "pwbuf.h"
 
@@ -7,32 +7,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-void pwtold_moved(pw_told_prompts *p, uint64_t key, uint32_t to) {
-  if (p->n == PWTOLD_MOVED)
+void pwgossipmsg_add_prompt(pw_gossip_prompts *p, uint64_t key, uint32_t to) {
+  if (p->n == PWGOSSIPMSG_PROMPTS_ALL)
     return;
   p->key[p->n] = key;
   p->to[p->n++] = to;
 }
 
-static void clear_parts(pw_told_loads *t) {
-  for (int i = 0; i < PWTOLD_PARTS; i++) {
+static void clear_parts(pw_gossip_loads *t) {
+  for (int i = 0; i < PWGOSSIPMSG_PARTS; i++) {
     free(t->part[i].row);
     t->part[i].row = NULL;
     t->part[i].n = 0;
   }
 }
 
-void pwtold_free(pw_told_loads *t) {
+void pwgossipmsg_free(pw_gossip_loads *t) {
   clear_parts(t);
-  *t = (pw_told_loads){0};
+  *t = (pw_gossip_loads){0};
 }
 
-int pwtold_take(pw_told_loads *t, const Pw__Gossip *m, int64_t now) {
+int pwgossipmsg_take(pw_gossip_loads *t, const Pw__Gossip *m, int64_t now) {
   uint32_t parts = m->parts ? m->parts : 1;
-  if (m->n_targets != m->n_loads || parts > PWTOLD_PARTS || m->part >= parts)
+  if (m->n_targets != m->n_loads || parts > PWGOSSIPMSG_PARTS ||
+      m->part >= parts)
     return 0;
   if (t->incarnation != m->incarnation) {
-    pwtold_free(t);
+    pwgossipmsg_free(t);
     t->incarnation = m->incarnation;
   }
   if (m->seq <= t->part[m->part].seq)
@@ -51,19 +52,20 @@
   return 1;
 }
 
-void pwtold_add(const pw_told_loads *t, pw_loads *sum) {
-  for (int i = 0; i < PWTOLD_PARTS; i++)
+void pwgossipmsg_sum(const pw_gossip_loads *t, pw_loads *sum) {
+  for (int i = 0; i < PWGOSSIPMSG_PARTS; i++)
     for (size_t k = 0; k < t->part[i].n; k++)
       pwloads_add(sum, t->part[i].row[k].key, t->part[i].row[k].load);
 }
 
 /* Number of datagrams that loads and prompts need. */
-static uint32_t parts_of(const pw_loads *loads, const pw_told_prompts *moved) {
-  size_t parts = (loads->n + PWTOLD_LOADS - 1) / PWTOLD_LOADS;
-  size_t more = (moved->n + PWTOLD_PROMPTS - 1) / PWTOLD_PROMPTS;
+static uint32_t parts_of(const pw_loads *loads,
+                         const pw_gossip_prompts *moved) {
+  size_t parts = (loads->n + PWGOSSIPMSG_LOADS - 1) / PWGOSSIPMSG_LOADS;
+  size_t more = (moved->n + PWGOSSIPMSG_PROMPTS - 1) / PWGOSSIPMSG_PROMPTS;
   parts = parts > more ? parts : more;
-  if (parts > PWTOLD_PARTS)
-    parts = PWTOLD_PARTS;
+  if (parts > PWGOSSIPMSG_PARTS)
+    parts = PWGOSSIPMSG_PARTS;
   return parts ? (uint32_t)parts : 1;
 }
 
@@ -72,7 +74,7 @@
   size_t at = 0;
   const pw_load_row *row;
   while ((row = pwloads_next(loads, &at)) != NULL) {
-    if (row->key % m->parts != m->part || m->n_targets == 2 * PWTOLD_LOADS)
+    if (row->key % m->parts != m->part || m->n_targets == 2 * PWGOSSIPMSG_LOADS)
       continue;
     m->targets[m->n_targets++] = row->key;
     m->loads[m->n_loads++] = row->load;
@@ -82,7 +84,7 @@
 /* Drops prompts, and then loads, until the message fits into a datagram. If the part were not sent
 ** at all, the receivers would keep the outdated loads of its targets. */
 static void trim_to_size(Pw__Gossip *m) {
-  while (pw__gossip__get_packed_size(m) > PWTOLD_BYTES) {
+  while (pw__gossip__get_packed_size(m) > PWGOSSIPMSG_BYTES) {
     if (m->n_keys > 0)
       m->n_keys = m->n_places = m->n_keys - 1;
     else
@@ -90,12 +92,12 @@
   }
 }
 
-void pwtold_pack(pw_told_kind kind, uint64_t incarnation, uint64_t *seq,
-                 const pw_loads *loads, const pw_told_prompts *moved,
-                 void (*send)(void *arg, const uint8_t *data, size_t n),
-                 void *arg) {
-  uint32_t target[2 * PWTOLD_LOADS], load[2 * PWTOLD_LOADS];
-  uint8_t data[PWTOLD_BYTES];
+void pwgossipmsg_pack(pw_gossip_kind kind, uint64_t incarnation, uint64_t *seq,
+                      const pw_loads *loads, const pw_gossip_prompts *moved,
+                      void (*send)(void *arg, const uint8_t *data, size_t n),
+                      void *arg) {
+  uint32_t target[2 * PWGOSSIPMSG_LOADS], load[2 * PWGOSSIPMSG_LOADS];
+  uint8_t data[PWGOSSIPMSG_BYTES];
   uint32_t parts = parts_of(loads, moved);
   size_t packed = 0;
   for (uint32_t part = 0; part < parts; part++) {
@@ -111,8 +113,8 @@
     m.keys = (uint64_t *)moved->key + packed;
     m.places = (uint32_t *)moved->to + packed;
     m.n_keys = moved->n - packed;
-    if (m.n_keys > PWTOLD_PROMPTS)
-      m.n_keys = PWTOLD_PROMPTS;
+    if (m.n_keys > PWGOSSIPMSG_PROMPTS)
+      m.n_keys = PWGOSSIPMSG_PROMPTS;
     m.n_places = m.n_keys;
     trim_to_size(&m);
     packed += m.n_keys;
@@ -122,14 +124,13 @@
 
 /* The message has no sequence number, so an instance of a version that knows loads alone drops it as
 ** outdated. */
-void pwtold_pack_suspects(uint64_t incarnation, Pw__Suspect **list, size_t n,
-                          void (*send)(void *arg, const uint8_t *data,
-                                       size_t n),
-                          void *arg) {
-  uint8_t data[PWTOLD_BYTES];
+void pwgossipmsg_pack_suspects(
+    uint64_t incarnation, Pw__Suspect **list, size_t n,
+    void (*send)(void *arg, const uint8_t *data, size_t n), void *arg) {
+  uint8_t data[PWGOSSIPMSG_BYTES];
   Pw__Gossip m = PW__GOSSIP__INIT;
   m.incarnation = incarnation;
-  m.kind = PWTOLD_SUSPECTS;
+  m.kind = PWGOSSIPMSG_SUSPECTS;
   m.suspects = list;
   m.n_suspects = n;
   assert(pw__gossip__get_packed_size(&m) <= sizeof data);
--- a/packages/gateway/pwhint.c
+++ b/packages/gateway/pwhint.c
@@ -24,10 +24,11 @@
          status == HTTP_STATUS_TOO_MANY_REQUESTS;
 }
 
-void pwhint_heed(pw_gate *g, pw_target *t, int status, const pw_told *told) {
+void pwhint_apply(pw_gate *g, pw_target *t, int status,
+                  const pw_answer_info *info) {
   int64_t now = pwclock_ms();
-  if (told->is_leaving)
+  if (info->is_leaving)
     note_leaving(g, t, now);
-  if (told->hold_off_ms > 0 && is_rejection(status))
-    note_hold_off(g, t, told->hold_off_ms, now);
+  if (info->hold_off_ms > 0 && is_rejection(status))
+    note_hold_off(g, t, info->hold_off_ms, now);
 }
--- a/packages/gateway/pwunderway.c
+++ b/packages/gateway/pwinflight.c
@@ -1,4 +1,4 @@
-/* pwunderway.c: lists the requests in flight at a gateway, the oldest first, with the target
+/* pwinflight.c: lists the requests in flight at a gateway, the oldest first, with the target
 ** of each: shows an operator why a request hangs. */
 #include "pwexint.h"
 
@@ -43,7 +43,7 @@
       "configuration", (json_int_t)(x->site ? pwsite_version(x->site) : 0));
 }
 
-void pwunderway_answer(pw_gate *g, pw_conn *c) {
+void pwinflight_answer(pw_gate *g, pw_conn *c) {
   size_t n = 0;
   int64_t now = pwclock_ms();
   const pw_exchange **all =
--- a/packages/gateway/pwlink.c
+++ b/packages/gateway/pwlink.c
@@ -120,19 +120,20 @@
 static void on_target_state(void *arg, const Pw__Beat *in) {
   const target_update *t = arg;
   pw_gate *g = t->l->g;
-  pw_beat b;
+  pw_heartbeat b;
   pwtable_unpack(in, &b);
-  pw_fleet_news what = pwfleet_beat(g->fleet, &b, in->gone, t->now - in->age);
+  pw_fleet_change what =
+      pwfleet_heartbeat(g->fleet, &b, in->gone, t->now - in->age);
   if (in->silent && t->has_leader)
-    what = pwfleet_told_silent(g->fleet, b.id, b.born, 1, t->now);
-  else if (!in->silent && what == PWFLEET_OLD)
-    what = pwfleet_told_silent(g->fleet, b.id, b.born, 0, t->now);
+    what = pwfleet_set_silent(g->fleet, b.id, b.born, 1, t->now);
+  else if (!in->silent && what == PWFLEET_UNCHANGED)
+    what = pwfleet_set_silent(g->fleet, b.id, b.born, 0, t->now);
   if (what == PWFLEET_SILENT || what == PWFLEET_GONE)
     pwgate_note_silent(g, b.id, t->now);
   if (what == PWFLEET_RESTARTED)
     pwcount_add(g->p->counters, PWC_RESTARTS, 1);
-  if (pwfleet_news_name(what))
-    pwtrace_line(g->trace, PWTRACE_STATE, t->now, pwfleet_news_name(what),
+  if (pwfleet_change_name(what))
+    pwtrace_line(g->trace, PWTRACE_STATE, t->now, pwfleet_change_name(what),
                  "target=%s born=%llu service=%s addr=%s seq=%llu", b.id,
                  (unsigned long long)b.born, b.service, b.address,
                  (unsigned long long)b.seq);
@@ -146,7 +147,7 @@
   if (!n->n_gateways || from != l->primary)
     return;
   l->ngateways = (int)n->n_gateways;
-  pwgossip_peers(l->g->gossip, n->gateways, n->n_gateways);
+  pwgossip_set_peers(l->g->gossip, n->gateways, n->n_gateways);
 }
 
 static void apply_evacuated(pw_link *l, const Pw__Notice *n, int64_t now) {
@@ -164,8 +165,8 @@
   pwbuf_free(&names);
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_news news) {
-  pwgate_note_suspect(arg, fingerprint, news, "kept");
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change news) {
+  pwgate_log_suspect(arg, fingerprint, news, "kept");
 }
 
 static void on_notice(pw_link *l, contact *c, const Pw__Notice *n,
@@ -180,17 +181,17 @@
   apply_evacuated(l, n, now);
   pwversions_take(l->g->versions, n, now);
   c->leads = n->leads;
-  pwsuspects_take(l->g->quarantine, n->suspects, n->n_suspects, now, on_suspect,
-                  l->g);
+  pwsuspects_receive(l->g->quarantine, n->suspects, n->n_suspects, now,
+                     on_suspect, l->g);
   target_update t = {l, n->in_touch, now};
   pwtable_read(n, on_target_state, &t);
   apply_peer_lists(l, c, n, now);
-  pwfollow_ask(l, now);
+  pwconfsync_request(l, now);
 }
 
 static contact *contact_by_peer(pw_link *l, const pw_peer *from) {
   for (contact *c = l->contacts; c; c = c->next)
-    if (c->dialled_at && pwwire_same(&c->peer, from))
+    if (c->dialled_at && pwwire_same_peer(&c->peer, from))
       return c;
   return NULL;
 }
@@ -207,7 +208,7 @@
     if (c && e->body_case == PW__ENVELOPE__BODY_NOTICE)
       on_notice(l, c, e->notice, now);
     else if (e->body_case == PW__ENVELOPE__BODY_DOCUMENT)
-      pwfollow_document(l, e->document, now);
+      pwconfsync_document(l, e->document, now);
     pw__envelope__free_unpacked(e, NULL);
   }
 }
@@ -228,7 +229,7 @@
     if (c == l->requested_from)
       l->requested_from = NULL;
     if (c->dialled_at)
-      pwwire_hang_up(l->sock, c->addr);
+      pwwire_disconnect(l->sock, c->addr);
     free(c);
   }
 }
@@ -295,16 +296,16 @@
 /* Interval of watch messages. It is shorter to the leader during a rollout, which the leader decides on
 ** by the answer counts of gateways. */
 static int64_t watch_interval_ms(const pw_link *l, const contact *c) {
-  int is_awaited = c->leads && pwversions_is_any(l->g->versions);
+  int is_awaited = c->leads && pwversions_is_running(l->g->versions);
   return is_awaited && c->watch_ms > ROLLOUT_WATCH_MS ? ROLLOUT_WATCH_MS
                                                       : c->watch_ms;
 }
 
 void pwlink_tick(pw_link *l, int64_t now) {
   if (l->reading || l->read_version < pwdoc_version(l->doc))
-    pwfollow_read(l);
+    pwconfsync_read(l);
   choose_primary(l, now);
-  pwfollow_ask(l, now);
+  pwconfsync_request(l, now);
   dial_next(l, now);
   for (contact *c = l->contacts; c; c = c->next)
     if (c->dialled_at && now - c->watched_at >= watch_interval_ms(l, c))
@@ -328,7 +329,7 @@
   return confirmed || now - l->config_at > UNCONFIRMED_MS;
 }
 
-int pwlink_gateways(const pw_link *l) {
+int pwlink_gateway_count(const pw_link *l) {
   return l->ngateways > 0 ? l->ngateways : 1;
 }
 
@@ -356,7 +357,7 @@
   l->doc = pwdoc_new();
   l->full_wait_ms = FULL_LIST_MS;
   l->sock = pwwire_dialler(g->p->wire);
-  pwhear_start(&l->watcher, g->ev, l->sock, read_messages, l);
+  pwzmqev_start(&l->watcher, g->ev, l->sock, read_messages, l);
   l->relay = pwrelay_new(g, l->doc, err);
   if (l->relay && dial_seeds(l, err) == 0)
     return l;
@@ -367,13 +368,13 @@
 void pwlink_free(pw_link *l) {
   if (!l)
     return;
-  pwhear_stop(&l->watcher);
+  pwzmqev_stop(&l->watcher);
   while (l->contacts) {
     contact *c = l->contacts;
     l->contacts = c->next;
     free(c);
   }
-  pwfollow_end(l);
+  pwconfsync_end(l);
   pwrelay_free(l->relay);
   pwwire_close(l->sock);
   pwdoc_free(l->doc);
--- a/packages/gateway/pwlinkint.h
+++ b/packages/gateway/pwlinkint.h
@@ -1,14 +1,14 @@
 /* pwlinkint.h: state of a gateway's links to control instances, private to pwlink.c,
-** pwfollow.c and pwrelay.c. */
+** pwconfsync.c and pwrelay.c. */
 #ifndef PWLINKINT_H
 #define PWLINKINT_H
 
 #include "pwgate.h"
 
 #include "pwdoc.h"
-#include "pwhear.h"
 #include "pwlog.h"
 #include "pwsuspects.h"
+#include "pwzmqev.h"
 
 typedef struct pw_relay pw_relay;
 
@@ -47,14 +47,14 @@
   int64_t behind_at;       /* when a newer one was first reported; 0: none is */
   int64_t requested_at; /* when a newer one was last requested, and from whom */
   contact *requested_from;
-  pw_reading *reading; /* parser of a received document; NULL: none */
-  pw_site *base_site;  /* in force when reading began; reference held */
+  pw_site_reader *reading; /* parser of a received document; NULL: none */
+  pw_site *base_site;      /* in force when reading began; reference held */
   uint64_t read_version;
   size_t read_bytes;
   char relay_addr[PW_NAME_MAX]; /* gateway asked for it; "": none */
   pw_relay *relay;
   int ngateways;
-  pw_hear watcher;
+  pw_zmqev watcher;
 };
 
 /* Tells a control instance the version of the configuration held here; `want`: also requests a newer
@@ -67,19 +67,19 @@
 /* Rank of a control instance in this gateway's own order of preference; the highest is preferred. */
 uint64_t pwlink_rank(const pw_link *l, const contact *c);
 
-/* --- pwfollow.c: fetching and applying the configuration --- */
+/* --- pwconfsync.c: fetching and applying the configuration --- */
 
 /* Requests a newer configuration if a control instance has reported one. */
-void pwfollow_ask(pw_link *l, int64_t now);
+void pwconfsync_request(pw_link *l, int64_t now);
 
 /* Takes a received document, or asks the gateway that it refers to. */
-void pwfollow_document(pw_link *l, const Pw__Document *d, int64_t now);
+void pwconfsync_document(pw_link *l, const Pw__Document *d, int64_t now);
 
 /* Reads the next part of the received document. */
-void pwfollow_read(pw_link *l);
+void pwconfsync_read(pw_link *l);
 
 /* Ends reading and frees its state. */
-void pwfollow_end(pw_link *l);
+void pwconfsync_end(pw_link *l);
 
 /* --- pwrelay.c: forwarding the configuration to other gateways --- */
 
--- a/packages/gateway/pwrelay.c
+++ b/packages/gateway/pwrelay.c
@@ -6,7 +6,7 @@
 struct pw_relay {
   pw_sock *sock; /* NULL: no address is set, nothing is sent */
   const pw_doc *doc;
-  pw_hear hear;
+  pw_zmqev hear;
 };
 
 static void on_watch(pw_relay *r, const pw_peer *from, const Pw__Watch *m) {
@@ -39,14 +39,14 @@
     free(r);
     return NULL;
   }
-  pwhear_start(&r->hear, g->ev, r->sock, read_messages, r);
+  pwzmqev_start(&r->hear, g->ev, r->sock, read_messages, r);
   return r;
 }
 
 void pwrelay_free(pw_relay *r) {
   if (!r)
     return;
-  pwhear_stop(&r->hear);
+  pwzmqev_stop(&r->hear);
   pwwire_close(r->sock);
   free(r);
 }
--- a/packages/gateway/pwupconn.c
+++ b/packages/gateway/pwupconn.c
@@ -53,10 +53,10 @@
   ev_timer_stop(u->g->ev, &u->connecting);
   pwtcp_close(u->tcp, reset);
   u->t->nconns--;
-  pwfleet_drop(u->t);
+  pwfleet_release(u->t);
   pwh1_free(&u->answer);
   pwbuf_free(&u->out);
-  pwgate_later(u->g, u);
+  pwgate_free_later(u->g, u);
 }
 
 void pwupconn_cancel(pw_upconn *u) {
@@ -100,16 +100,16 @@
 /* Handles the head of an answer, which belongs to the current request or, come too
 ** late, to an earlier one. */
 static void on_head(pw_upconn *u) {
-  pw_told told;
+  pw_answer_info info;
   read_keep_alive(u);
   if (u->answer.parser.status_code / 100 == 1) {
     u->is_stale = 1;
     return;
   }
-  u->is_stale = pwexchange_is_surplus(u->x, &u->answer, &told);
-  pwhint_heed(u->g, u->t, u->answer.parser.status_code, &told);
+  u->is_stale = pwexchange_is_stale(u->x, &u->answer, &info);
+  pwhint_apply(u->g, u->t, u->answer.parser.status_code, &info);
   if (!u->is_stale)
-    pwexchange_head(u->x, &u->answer, &told);
+    pwexchange_head(u->x, &u->answer, &info);
 }
 
 /* Handles the end of an answer. `more`: bytes follow it. */
@@ -132,7 +132,7 @@
     pwh1_reset(&u->answer);
     make_idle(u);
   }
-  pwexchange_whole(x);
+  pwexchange_complete(x);
 }
 
 static void on_data(void *arg, const char *data, size_t n) {
@@ -142,10 +142,10 @@
     return;
   }
   u->has_received = 1;
-  u->t->seen_at = pwclock_ms();
+  u->t->received_at = pwclock_ms();
   while (n > 0 && u->x && !u->is_closed) {
     pw_h1_state before = u->answer.state;
-    size_t used = pwh1_take(&u->answer, data, n);
+    size_t used = pwh1_feed(&u->answer, data, n);
     data += used;
     n -= used;
     if (u->is_closed)
@@ -180,7 +180,7 @@
 static void on_connected(void *arg) {
   pw_upconn *u = arg;
   ev_timer_stop(u->g->ev, &u->connecting);
-  u->t->seen_at = pwclock_ms();
+  u->t->received_at = pwclock_ms();
   u->is_up = 1;
   pwtcp_write(u->tcp, u->out.data, u->out.len);
   pwbuf_free(&u->out);
@@ -188,7 +188,7 @@
     pwexchange_sent(u->x);
 }
 
-static const pw_tcp_calls calls = {on_connected, on_data, on_ended, NULL};
+static const pw_tcp_callbacks calls = {on_connected, on_data, on_ended, NULL};
 
 /* Does not count time for which the event loop was stalled: the connection may have been established
 ** meanwhile, and the target must not be taken for lost. */
@@ -206,7 +206,7 @@
 static pw_upconn *open_conn(pw_gate *g, pw_target *t) {
   pw_upconn *u = pw_alloc(sizeof *u);
   u->g = g;
-  u->t = pwfleet_hold(t);
+  u->t = pwfleet_retain(t);
   u->idle_ms = IDLE_DEFAULT_MS;
   pwh1_init(&u->answer, HTTP_RESPONSE, HEAD_MAX);
   u->answer.arg = u;
@@ -215,7 +215,7 @@
   u->connecting.data = u;
   u->tcp = pwtcp_connect(&g->tcp, &t->addr, SILENT_MS, &calls, u);
   if (!u->tcp) {
-    pwfleet_drop(t);
+    pwfleet_release(t);
     free(u);
     return NULL;
   }
@@ -266,8 +266,8 @@
   return u;
 }
 
-size_t pwupconn_held(const pw_upconn *u) {
-  return pwtcp_held(u->tcp) + u->out.cap;
+size_t pwupconn_buffered(const pw_upconn *u) {
+  return pwtcp_buffered(u->tcp) + u->out.cap;
 }
 
 int pwupconn_is_readable(const pw_upconn *u) {
--- a/packages/gateway/pwversions.c
+++ b/packages/gateway/pwversions.c
@@ -100,7 +100,7 @@
   apply(v, list, n_rollouts);
 }
 
-int pwversions_is_any(const pw_versions *v) {
+int pwversions_is_running(const pw_versions *v) {
   for (size_t i = 0; i < v->n; i++)
     if (v->list[i].fleet.canary.state == PWCANARY_RUNNING)
       return 1;
@@ -123,10 +123,10 @@
                      int is_bad) {
   rollout *r = find(v, t->service);
   if (!r || r->fleet.canary.state != PWCANARY_RUNNING ||
-      t->side == PWFLEET_BOTH)
+      t->side == PWFLEET_ANY_VERSION)
     return;
   answers *one = route_of(r, route);
-  int to = t->side == PWFLEET_TO;
+  int to = t->side == PWFLEET_NEW_VERSION;
   if (is_bad)
     one->bad[to]++;
   else
--- a/packages/gateway/pwversions.h
+++ b/packages/gateway/pwversions.h
@@ -16,7 +16,7 @@
 void pwversions_take(pw_versions *v, const Pw__Notice *n, int64_t now);
 
 /* Whether a rollout is running, so that control waits for answer counts. */
-int pwversions_is_any(const pw_versions *v);
+int pwversions_is_running(const pw_versions *v);
 
 /* Counts an answer of a target. `is_bad`: it was a failure of the target, or too
 ** slow. */
--- a/packages/http/pwserve.c
+++ b/packages/http/pwserve.c
@@ -159,7 +159,7 @@
 
 /* --- answer --- */
 
-void pwserve_add(pw_http *h, const char *name, const char *value) {
+void pwserve_add_header(pw_http *h, const char *name, const char *value) {
   if (strpbrk(value, "\r\n"))
     return; /* a line break would inject a header */
   pwbuf_fmt(&h->lines, "%s: %s\r\n", name, value);
@@ -169,7 +169,7 @@
   h->step = how;
   h->status = status;
   if (type && type[0])
-    pwserve_add(h, "Content-Type", type);
+    pwserve_add_header(h, "Content-Type", type);
 }
 
 void pwserve_reply(pw_http *h, int status, const char *type, const void *body,
@@ -198,7 +198,7 @@
   pthread_mutex_unlock(&l->lock);
 }
 
-int pwserve_gone(pw_http *h) {
+int pwserve_is_gone(pw_http *h) {
   return atomic_load(&h->is_gone);
 }
 
@@ -265,7 +265,7 @@
   while (pwtcp_pending(h->conn->tcp) <= PENDING_MAX) {
     ssize_t n = h->read(h->arg, h, block, sizeof block);
     if (n > 0) {
-      pwconn_piece(h->conn, block, (size_t)n);
+      pwconn_write(h->conn, block, (size_t)n);
     } else if (n == 0) {
       assert(h->step == WAITS);
       list_waiting(h);
@@ -275,7 +275,7 @@
       if (n == -1)
         pwconn_end(c);
       else
-        pwconn_break(c);
+        pwconn_abort(c);
       finish(h, n == -1);
       return;
     }
@@ -354,7 +354,7 @@
   l->next_keys = NULL;
   pthread_mutex_unlock(&l->lock);
   if (keys) {
-    pwtls_keys_drop(l->keys);
+    pwtls_keys_release(l->keys);
     l->conns.keys = l->keys = keys;
   }
   while (woken) {
@@ -364,7 +364,7 @@
   }
   if (quiesce && !l->conns.is_stopping) {
     l->conns.is_stopping = 1;
-    pwconns_unlisten(&l->conns);
+    pwconns_stop_listening(&l->conns);
     pwconns_close_idle(&l->conns);
   }
   if (end)
@@ -381,7 +381,7 @@
   (void)ev;
   (void)events;
   loop *l = w->data;
-  pwconns_sweep(&l->conns, pwclock_ms());
+  pwconns_close_expired(&l->conns, pwclock_ms());
 }
 
 static void *run(void *arg) {
@@ -431,7 +431,7 @@
   ev_timer_stop(l->ev, &l->sweep);
   pwtcp_loop_free(&l->tcp);
   ev_loop_destroy(l->ev);
-  pwtls_keys_drop(l->keys);
+  pwtls_keys_release(l->keys);
   pthread_mutex_destroy(&l->lock);
 }
 
@@ -449,7 +449,7 @@
     if (out[i] || !has_tls(&s->set))
       continue;
     while (i-- > 0)
-      pwtls_keys_drop(out[i]);
+      pwtls_keys_release(out[i]);
     pwbuf_fmt(err, "%s: %s and %s are not a certificate and its key\n",
               s->set.addr, s->set.tls_cert, s->set.tls_key);
     return -1;
@@ -501,7 +501,7 @@
   return s;
 no_listener:
   for (int i = 0; i < s->nloops; i++)
-    pwtls_keys_drop(keys[i]);
+    pwtls_keys_release(keys[i]);
 failed:
   free(keys);
   free(s);
@@ -514,13 +514,13 @@
   pthread_mutex_unlock(&l->lock);
 }
 
-int pwserve_renew(pw_server *s, pw_buf *err) {
+int pwserve_reload_keys(pw_server *s, pw_buf *err) {
   pw_tls_keys **keys = pw_alloc(sizeof *keys * (size_t)s->nloops);
   int rc = read_keys(s, keys, err);
   for (int i = 0; rc == 0 && i < s->nloops; i++) {
     loop *l = &s->loops[i];
     pthread_mutex_lock(&l->lock);
-    pwtls_keys_drop(l->next_keys);
+    pwtls_keys_release(l->next_keys);
     l->next_keys = keys[i];
     notify(l);
   }
--- a/packages/http/pwserve.h
+++ b/packages/http/pwserve.h
@@ -35,7 +35,7 @@
 
 /* Reloads certificate and key for new connections; open ones keep the old ones. Returns 0, or -1
 ** with a reason in `err` and the old keys still in use. */
-int pwserve_renew(pw_server *s, pw_buf *err);
+int pwserve_reload_keys(pw_server *s, pw_buf *err);
 
 /* Stops listening; requests in progress go on. */
 void pwserve_quiesce(pw_server *s);
@@ -62,7 +62,7 @@
 void *pwserve_get(const pw_http *h);
 
 /* Adds a header to the answer, before it is sent. */
-void pwserve_add(pw_http *h, const char *name, const char *value);
+void pwserve_add_header(pw_http *h, const char *name, const char *value);
 
 /* Answers with a complete body, which is copied. */
 void pwserve_reply(pw_http *h, int status, const char *type, const void *body,
@@ -80,6 +80,6 @@
 void pwserve_wake(pw_http *h);
 
 /* Whether the caller is known to have disconnected. */
-int pwserve_gone(pw_http *h);
+int pwserve_is_gone(pw_http *h);
 
 #endif
--- a/packages/membership/pwwhere.c
+++ b/packages/membership/pwaffinity.c
@@ -1,5 +1,5 @@
-/* pwwhere.c: affinity table, which maps a prompt to the target that got it last. */
-#include "pwwhere.h"
+/* pwaffinity.c: affinity table, which maps a prompt to the target that got it last. */
+#include "pwaffinity.h"
 
 #include "pwbuf.h"
 
@@ -14,15 +14,15 @@
   uint32_t target;
 } row;
 
-struct pw_where {
+struct pw_affinity {
   row rows[ROWS];
 };
 
-pw_where *pwwhere_new(void) {
-  return pw_alloc(sizeof(pw_where));
+pw_affinity *pwaffinity_new(void) {
+  return pw_alloc(sizeof(pw_affinity));
 }
 
-void pwwhere_free(pw_where *w) {
+void pwaffinity_free(pw_affinity *w) {
   free(w);
 }
 
@@ -30,15 +30,16 @@
   return XXH3_64bits(&key, sizeof key) & (ROWS - 1);
 }
 
-void pwwhere_note(pw_where *w, uint64_t key, uint32_t target, int64_t now) {
+void pwaffinity_note(pw_affinity *w, uint64_t key, uint32_t target,
+                     int64_t now) {
   row *r = &w->rows[index_of(key)];
   if (r->key == key && r->at > now)
     return;
   *r = (row){key, now, target};
 }
 
-uint32_t pwwhere_find(const pw_where *w, uint64_t key, int64_t now,
-                      int64_t keep_ms) {
+uint32_t pwaffinity_find(const pw_affinity *w, uint64_t key, int64_t now,
+                         int64_t keep_ms) {
   const row *r = &w->rows[index_of(key)];
   return r->key == key && r->target && now - r->at <= keep_ms ? r->target : 0;
 }
--- a/packages/membership/pwfleet.c
+++ b/packages/membership/pwfleet.c
@@ -15,7 +15,7 @@
 #define SLOTS_DEFAULT 1
 
 #define CONNECT_FAILURE_SALT                                                   \
-  0x9e3779b9U /* makes miss_hash differ from reject_hash */
+  0x9e3779b9U /* makes connect_failure_hash differ from reject_hash */
 
 /* A cold phase that differs by more than this from the announced one is reported as a change,
 ** ms. Smaller differences come from heartbeats that arrive late. */
@@ -30,23 +30,23 @@
   return f;
 }
 
-void pwfleet_believe(pw_fleet *f) {
+void pwfleet_trust_updates(pw_fleet *f) {
   f->trusts_updates = 1;
 }
 
-pw_target *pwfleet_hold(pw_target *t) {
+pw_target *pwfleet_retain(pw_target *t) {
   t->refs++;
   return t;
 }
 
-void pwfleet_drop(pw_target *t) {
+void pwfleet_release(pw_target *t) {
   if (t && --t->refs == 0)
     free(t);
 }
 
 static void remove_target(pw_fleet *f, pw_target *t) {
   HASH_DEL(f->by_id, t);
-  pwfleet_drop(t);
+  pwfleet_release(t);
 }
 
 /* --- incarnations --- */
@@ -63,7 +63,7 @@
 static void drop_retired(pw_target **at) {
   pw_target *t = *at;
   *at = t->next_retired;
-  pwfleet_drop(t);
+  pwfleet_release(t);
 }
 
 static void sweep_retired(pw_fleet *f) {
@@ -85,9 +85,9 @@
 }
 
 /* The start time that a message refers to: an instance of an older version sends
-** PW_BORN_UNTOLD, which stands for the known incarnation. */
+** PW_BORN_UNKNOWN, which stands for the known incarnation. */
 static uint64_t resolve_born(const pw_target *t, uint64_t born) {
-  if (born != PW_BORN_UNTOLD)
+  if (born != PW_BORN_UNKNOWN)
     return born;
   return t ? t->born : 0;
 }
@@ -145,7 +145,7 @@
   t->stalled_ms = 0;
 }
 
-static pw_target *add(pw_fleet *f, const pw_beat *b, int64_t heard_at) {
+static pw_target *add(pw_fleet *f, const pw_heartbeat *b, int64_t heard_at) {
   pw_target *t = pw_alloc(sizeof *t);
   t->refs = 1;
   pw_copy(t->id, sizeof t->id, b->id);
@@ -154,7 +154,7 @@
   t->start_hash = hash_start(t);
   t->short_hash = (uint32_t)(t->start_hash >> 32);
   t->reject_hash = (uint32_t)t->start_hash;
-  t->miss_hash = t->reject_hash ^ CONNECT_FAILURE_SALT;
+  t->connect_failure_hash = t->reject_hash ^ CONNECT_FAILURE_SALT;
   t->heard_at = heard_at;
   t->joined_at = heard_at - (int64_t)b->seq * f->beat_ms;
   HASH_ADD_STR(f->by_id, id, t);
@@ -188,13 +188,13 @@
     t->is_evacuated = is_evacuated(f, t);
     changed |= was != t->is_evacuated;
     if (was && !t->is_evacuated)
-      t->cold.doubt_at = now;
+      t->cold.maybe_cold_at = now;
   }
   return changed || before != n;
 }
 
-static void store_heartbeat(const pw_fleet *f, pw_target *t, const pw_beat *b,
-                            int64_t heard_at) {
+static void store_heartbeat(const pw_fleet *f, pw_target *t,
+                            const pw_heartbeat *b, int64_t heard_at) {
   pw_copy(t->service, sizeof t->service, b->service);
   pw_copy(t->availability_zone, sizeof t->availability_zone,
           b->availability_zone);
@@ -246,8 +246,8 @@
 }
 
 /* Whether a heartbeat extends the cold phase of a target or ends it early. */
-static pw_fleet_news cold_change(const pw_target *t, const pw_beat *b,
-                                 int64_t heard_at) {
+static pw_fleet_change cold_change(const pw_target *t, const pw_heartbeat *b,
+                                   int64_t heard_at) {
   int64_t until = heard_at + b->cold_ms;
   if (b->cold_ms > 0 && until > t->cold.until + COLD_CHANGE_MS)
     return PWFLEET_COLD;
@@ -256,15 +256,15 @@
              : PWFLEET_RENEWED;
 }
 
-pw_fleet_news pwfleet_beat(pw_fleet *f, const pw_beat *b, int gone,
-                           int64_t heard_at) {
+pw_fleet_change pwfleet_heartbeat(pw_fleet *f, const pw_heartbeat *b, int gone,
+                                  int64_t heard_at) {
   pw_target *t = pwfleet_find(f, b->id);
   struct sockaddr_in addr;
   if (!gone && pwtcp_address(b->address, &addr) != 0)
-    return PWFLEET_OLD; /* no usable address */
+    return PWFLEET_UNCHANGED; /* no usable address */
   uint64_t born = resolve_born(t, b->born);
   if (t && born < t->born && (born || !gone))
-    return PWFLEET_OLD; /* an earlier incarnation */
+    return PWFLEET_UNCHANGED; /* an earlier incarnation */
   int is_restart = t && born > t->born;
   if (is_restart)
     retire(f, t);
@@ -277,15 +277,15 @@
     int was_known = t->is_gone && !t->is_displaced;
     t->is_gone = 1;
     t->is_displaced = 0;
-    return was_known ? PWFLEET_OLD : PWFLEET_GONE;
+    return was_known ? PWFLEET_UNCHANGED : PWFLEET_GONE;
   }
   int is_back = t->is_gone && is_still_alive(f, t, b->seq, heard_at);
   if (t->is_gone && !is_back)
-    return PWFLEET_OLD;
+    return PWFLEET_UNCHANGED;
   if (!is_new && !is_back && b->seq <= t->seq)
-    return PWFLEET_OLD;
+    return PWFLEET_UNCHANGED;
   int was_away = note_alive(t, b->seq);
-  pw_fleet_news cold = cold_change(t, b, heard_at);
+  pw_fleet_change cold = cold_change(t, b, heard_at);
   store_heartbeat(f, t, b, heard_at);
   if (is_new || is_back)
     claim_address(f, t);
@@ -302,14 +302,14 @@
   return is_new ? PWFLEET_JOINED : cold;
 }
 
-pw_fleet_news pwfleet_renew(pw_fleet *f, const char *id, uint64_t born,
-                            uint64_t seq, int64_t heard_at) {
+pw_fleet_change pwfleet_renew(pw_fleet *f, const char *id, uint64_t born,
+                              uint64_t seq, int64_t heard_at) {
   pw_target *t = pwfleet_find(f, id);
   if (t && t->born != resolve_born(t, born))
-    return PWFLEET_OLD;
+    return PWFLEET_UNCHANGED;
   int is_back = t && is_still_alive(f, t, seq, heard_at);
   if (!t || (t->is_gone && !is_back) || (!is_back && seq <= t->seq))
-    return PWFLEET_OLD;
+    return PWFLEET_UNCHANGED;
   if (heard_at > t->heard_at)
     note_heard(t, heard_at);
   int was_away = note_alive(t, seq);
@@ -318,18 +318,18 @@
   return was_away ? PWFLEET_BACK : PWFLEET_RENEWED;
 }
 
-pw_fleet_news pwfleet_told_silent(pw_fleet *f, const char *id, uint64_t born,
-                                  int silent, int64_t now) {
+pw_fleet_change pwfleet_set_silent(pw_fleet *f, const char *id, uint64_t born,
+                                   int silent, int64_t now) {
   pw_target *t = pwfleet_find(f, id);
   if (!t || t->born != resolve_born(t, born) || t->is_gone ||
       t->is_silent == silent)
-    return PWFLEET_OLD;
+    return PWFLEET_UNCHANGED;
   t->is_silent = silent;
   note_heard(t, now); /* the time of removal counts from this change */
   return silent ? PWFLEET_SILENT : PWFLEET_BACK;
 }
 
-const char *pwfleet_news_name(pw_fleet_news news) {
+const char *pwfleet_change_name(pw_fleet_change news) {
   static const char *const names[] = {[PWFLEET_JOINED] = "target-joined",
                                       [PWFLEET_RESTARTED] = "target-restarted",
                                       [PWFLEET_BACK] = "target-back",
@@ -341,13 +341,13 @@
   return news >= PWFLEET_JOINED ? names[news] : NULL;
 }
 
-void pwfleet_beat_of(const pw_target *t, pw_beat *out) {
+void pwfleet_to_heartbeat(const pw_target *t, pw_heartbeat *out) {
   int64_t cold_ms = t->cold.until - t->heard_at;
-  *out = (pw_beat){.born = t->born,
-                   .slots = t->slots,
-                   .leaving = t->is_leaving,
-                   .cold_ms = cold_ms > 0 ? cold_ms : 0,
-                   .seq = t->seq};
+  *out = (pw_heartbeat){.born = t->born,
+                        .slots = t->slots,
+                        .leaving = t->is_leaving,
+                        .cold_ms = cold_ms > 0 ? cold_ms : 0,
+                        .seq = t->seq};
   pw_copy(out->id, sizeof out->id, t->id);
   pw_copy(out->service, sizeof out->service, t->service);
   pw_copy(out->address, sizeof out->address, t->address);
@@ -356,7 +356,7 @@
   pw_copy(out->version, sizeof out->version, t->version);
 }
 
-void pwfleet_forget(pw_target *t, int64_t now) {
+void pwfleet_mark_gone(pw_target *t, int64_t now) {
   t->is_gone = 1;
   note_heard(t, now);
 }
@@ -382,13 +382,13 @@
   }
 }
 
-void pwfleet_excuse(pw_fleet *f, int64_t ms) {
+void pwfleet_discount_stall(pw_fleet *f, int64_t ms) {
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
-    t->seen_at += ms;
+    t->received_at += ms;
     t->stalled_ms += ms;
   }
   for (pw_target *t = f->retired; t; t = t->next_retired)
-    t->seen_at += ms;
+    t->received_at += ms;
 }
 
 /* The sum that the other gateways reported under a key. */
@@ -405,6 +405,6 @@
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
     t->others = (int)others_of(all, own, t->short_hash);
     t->peer_rejects = others_of(all, own, t->reject_hash);
-    t->peer_connect_failures = others_of(all, own, t->miss_hash);
+    t->peer_connect_failures = others_of(all, own, t->connect_failure_hash);
   }
 }
--- a/packages/membership/pwfleet.h
+++ b/packages/membership/pwfleet.h
@@ -19,12 +19,12 @@
 
 /* The side of a rollout that a target belongs to, or that a request may go to. */
 typedef enum pw_fleet_side {
-  PWFLEET_BOTH, /* all targets: there is no rollout, or it is complete */
-  PWFLEET_FROM, /* the targets of other versions than the new one */
-  PWFLEET_TO /* the targets of the new version; requests go to those in the canary */
+  PWFLEET_ANY_VERSION, /* all targets: there is no rollout, or it is complete */
+  PWFLEET_OLD_VERSION, /* the targets of other versions than the new one */
+  PWFLEET_NEW_VERSION /* the targets of the new version; requests go to those in the canary */
 } pw_fleet_side;
 
-/* One incarnation of a target. It is reference-counted (pwfleet_hold, pwfleet_drop). */
+/* One incarnation of a target. It is reference-counted (pwfleet_retain, pwfleet_release). */
 typedef struct pw_target {
   char id[PW_NAME_MAX];
   uint64_t born; /* start time, which names the incarnation together with the
@@ -40,7 +40,8 @@
   uint32_t short_hash;  /* identifies the incarnation in messages between
                         ** gateways */
   uint32_t reject_hash; /* key under which gateways report its rejections */
-  uint32_t miss_hash;   /* key under which gateways report failed connects */
+  uint32_t
+      connect_failure_hash; /* key under which gateways report failed connects */
   char version[PW_NAME_MAX]; /* software version */
   int slots;                 /* requests that it runs at once */
   int is_leaving;            /* by its heartbeats */
@@ -67,22 +68,22 @@
   int others;            /* requests of the other gateways, as last reported */
   pw_reject rejects;     /* its latest rejection of a request of this gateway */
   uint32_t peer_rejects; /* how many other gateways it rejected lately */
-  pw_reject misses;      /* the latest failed connect of this gateway */
+  pw_reject connect_failures; /* the latest failed connect of this gateway */
   uint32_t peer_connect_failures; /* how many other gateways failed to connect
                                   ** lately */
   int nconns;                     /* open connections, idle ones included */
   pw_upconn *idle;                /* idle connections, the newest first */
 
-  int failures;        /* consecutive requests without a valid answer */
-  double errors;       /* smoothed share of error answers at errors_at */
-  int64_t errors_at;   /* ms; the share decays from then on */
-  int64_t set_aside;   /* end of its ejection after failures, ms */
-  int64_t answered_at; /* time of its newest answer, ms */
-  int64_t seen_at;     /* time of the newest byte from it, ms, moved forward by
+  int failures;          /* consecutive requests without a valid answer */
+  double errors;         /* smoothed share of error answers at errors_at */
+  int64_t errors_at;     /* ms; the share decays from then on */
+  int64_t ejected_until; /* end of its ejection after failures, ms */
+  int64_t answered_at;   /* time of its newest answer, ms */
+  int64_t received_at; /* time of the newest byte from it, ms, moved forward by
                        ** stalls of this process */
   double work_ms;      /* smoothed duration of a request; 0: not measured */
   pw_fleet_side side;
-  int is_in_canary; /* PWFLEET_TO only: it gets requests already */
+  int is_in_canary; /* PWFLEET_NEW_VERSION only: it gets requests already */
   int refs;
   struct pw_target
       *next_retired; /* next earlier incarnation with open connections */
@@ -99,11 +100,11 @@
 
 /* Makes the fleet accept each update without a check of its own, since it comes from control
 ** instances, which have checked it. */
-void pwfleet_believe(pw_fleet *f);
+void pwfleet_trust_updates(pw_fleet *f);
 
 /* What a heartbeat or an update changed. */
-typedef enum pw_fleet_news {
-  PWFLEET_OLD, /* nothing: it was known, or outdated */
+typedef enum pw_fleet_change {
+  PWFLEET_UNCHANGED, /* nothing: it was known, or outdated */
   PWFLEET_RENEWED,
   PWFLEET_JOINED,
   PWFLEET_RESTARTED, /* a new incarnation of a known id */
@@ -113,32 +114,32 @@
   PWFLEET_SILENT,
   PWFLEET_LEAVING,
   PWFLEET_GONE
-} pw_fleet_news;
+} pw_fleet_change;
 
-/* Event name for log lines, such as "target-joined"; NULL for PWFLEET_OLD and
+/* Event name for log lines, such as "target-joined"; NULL for PWFLEET_UNCHANGED and
 ** PWFLEET_RENEWED. */
-const char *pwfleet_news_name(pw_fleet_news news);
+const char *pwfleet_change_name(pw_fleet_change news);
 
 /* Applies a heartbeat received at `heard_at`, ms; `gone` marks the end of the target. A
 ** heartbeat of an earlier incarnation changes nothing, and one of a later incarnation adds a
 ** new target. An end without `born` applies to the known incarnation. */
-pw_fleet_news pwfleet_beat(pw_fleet *f, const pw_beat *b, int gone,
-                           int64_t heard_at);
+pw_fleet_change pwfleet_heartbeat(pw_fleet *f, const pw_heartbeat *b, int gone,
+                                  int64_t heard_at);
 
 /* Marks a target as gone, since its address no longer answers for its id. */
-void pwfleet_forget(pw_target *t, int64_t now);
+void pwfleet_mark_gone(pw_target *t, int64_t now);
 
-/* Applies a heartbeat that carries no description. PWFLEET_OLD if the incarnation is not
+/* Applies a heartbeat that carries no description. PWFLEET_UNCHANGED if the incarnation is not
 ** known. */
-pw_fleet_news pwfleet_renew(pw_fleet *f, const char *id, uint64_t born,
-                            uint64_t seq, int64_t heard_at);
+pw_fleet_change pwfleet_renew(pw_fleet *f, const char *id, uint64_t born,
+                              uint64_t seq, int64_t heard_at);
 
 /* Whether this incarnation of a target, or a later one, is known. */
 int pwfleet_knows(pw_fleet *f, const char *id, uint64_t born);
 
 /* Applies a control instance's verdict on whether a target has missed its heartbeats. */
-pw_fleet_news pwfleet_told_silent(pw_fleet *f, const char *id, uint64_t born,
-                                  int silent, int64_t now);
+pw_fleet_change pwfleet_set_silent(pw_fleet *f, const char *id, uint64_t born,
+                                   int silent, int64_t now);
 
 /* Removes targets that have long been silent or gone. With `judge`, also marks targets that
 ** have missed their heartbeats, and calls judge for each of them and for each target that is
@@ -148,7 +149,7 @@
                   void *arg);
 
 /* Rebuilds the newest heartbeat of a target, as of heard_at. */
-void pwfleet_beat_of(const pw_target *t, pw_beat *out);
+void pwfleet_to_heartbeat(const pw_target *t, pw_heartbeat *out);
 
 /* Sets the evacuated availability zones as of a revision; an older revision changes nothing.
 ** Targets whose evacuation ends are taken as cold, since they may have cooled down without a
@@ -214,27 +215,29 @@
                       pw_target *const *tried, int ntried, int64_t now);
 
 /* What a request requires of its target. */
-typedef struct pw_fleet_ask {
+typedef struct pw_fleet_criteria {
   const char *service;
   pw_fleet_side side;
-  pw_pick_how how;
+  pw_pick_policy how;
   int is_sticky; /* `key` is set */
   uint64_t key;  /* hash of the prompt prefix that requests share */
-  int stays; /* only the prompt's home targets, without a fallback to others */
-  uint32_t last;      /* short hash of the prompt's latest target; 0: unknown */
-  uint32_t beginning; /* short hash of the latest target of a prompt with the
+  int home_only; /* only the prompt's home targets, without a fallback to others */
+  uint32_t
+      last_target; /* short hash of the prompt's latest target; 0: unknown */
+  uint32_t
+      prefix_target; /* short hash of the latest target of a prompt with the
                       ** same beginning; 0: unknown */
-  double wait_ms;     /* longest acceptable wait for a slot */
-  double draw;        /* uniform in [0, 1) */
+  double wait_ms;    /* longest acceptable wait for a slot */
+  double draw;       /* uniform in [0, 1) */
   pw_pick_bound bound;
   pw_cold_service cold; /* what the service's cold targets accept */
   double part; /* this gateway's share of that, above 0 and at most 1 */
   int conns;   /* most connections to one target, busy or idle; 0: no limit */
-  int spares_retries;      /* few retries are left: targets that reject requests
+  int save_retries;        /* few retries are left: targets that reject requests
                            ** come last */
   pw_target *const *tried; /* targets that are excluded */
   int ntried;
-} pw_fleet_ask;
+} pw_fleet_criteria;
 
 typedef struct pw_fleet_picked {
   pw_target *target; /* with a reference for the caller; NULL: none */
@@ -243,7 +246,8 @@
   int is_home; /* target is the one where every gateway looks for the prompt */
 } pw_fleet_picked;
 
-pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_ask *ask, int64_t now);
+pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *ask,
+                             int64_t now);
 
 /* Records a valid answer of a target after work_ms (0: not measured), or a request that ended
 ** without one. */
@@ -251,7 +255,7 @@
 void pwfleet_failed(pw_target *t, int64_t now);
 
 /* Records that no connection to a target came up. */
-void pwfleet_unreached(pw_target *t, int64_t now);
+void pwfleet_connect_failed(pw_target *t, int64_t now);
 
 /* Records that a target announced in an answer that it leaves. Returns whether that was
 ** unknown. */
@@ -276,17 +280,17 @@
 /* Discounts a stall of this process by `ms`, in which it could receive nothing, from the
 ** silence of all targets. Must be called before anything that arrived during the stall is
 ** read. */
-void pwfleet_excuse(pw_fleet *f, int64_t ms);
+void pwfleet_discount_stall(pw_fleet *f, int64_t ms);
 
 /* Whether a target has sent nothing for so long that the requests waiting for it should move
 ** to another target. */
-int pwfleet_is_dark(const pw_target *t, int64_t now);
+int pwfleet_is_unresponsive(const pw_target *t, int64_t now);
 
 /* Records an error answer that the target itself caused. */
-void pwfleet_erred(pw_target *t, int64_t now);
+void pwfleet_error_answered(pw_target *t, int64_t now);
 
 /* Takes and releases a reference to a target. */
-pw_target *pwfleet_hold(pw_target *t);
-void pwfleet_drop(pw_target *t);
+pw_target *pwfleet_retain(pw_target *t);
+void pwfleet_release(pw_target *t);
 
 #endif
--- a/packages/membership/pwfleetint.h
+++ b/packages/membership/pwfleetint.h
@@ -8,7 +8,7 @@
   char *availability_zone;
   int64_t beat_ms;
   int64_t keep_ms;
-  uint64_t turn;         /* counter of PWPICK_BY_TURN */
+  uint64_t turn;         /* counter of PWPICK_BY_ROUND_ROBIN */
   int64_t others_age_ms; /* age of the other gateways' reported loads */
   int trusts_updates; /* updates come from control instances, which have checked them */
   uint64_t evacuated_at; /* revision of `evacuated` */
--- a/packages/membership/pwfleetpick.c
+++ b/packages/membership/pwfleetpick.c
@@ -68,9 +68,9 @@
 int pwflt_is_of(const pw_target *t, const char *service, pw_fleet_side side) {
   if (strcmp(t->service, service) != 0)
     return 0;
-  if (side == PWFLEET_TO)
-    return t->side == PWFLEET_TO && t->is_in_canary;
-  return side == PWFLEET_BOTH || t->side != PWFLEET_TO;
+  if (side == PWFLEET_NEW_VERSION)
+    return t->side == PWFLEET_NEW_VERSION && t->is_in_canary;
+  return side == PWFLEET_ANY_VERSION || t->side != PWFLEET_NEW_VERSION;
 }
 
 static service_stats stats_of(const pw_fleet *f, const char *service,
@@ -108,7 +108,7 @@
 static int is_alive(const pw_fleet *f, const pw_target *t,
                     const service_stats *s) {
   return !t->is_gone && (s->most_silent || is_responsive(f, t, s->now)) &&
-         t->set_aside <= s->now;
+         t->ejected_until <= s->now;
 }
 
 /* Whether a target stays in service: it is not leaving, evacuated, outdated or gone. */
@@ -148,7 +148,7 @@
 static int count(const pw_fleet *f, const char *service, int64_t now,
                  int (*fits)(const pw_fleet *f, const pw_target *t,
                              const service_stats *s)) {
-  service_stats s = stats_of(f, service, PWFLEET_BOTH, now);
+  service_stats s = stats_of(f, service, PWFLEET_ANY_VERSION, now);
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     n += !strcmp(t->service, service) && fits(f, t, &s);
@@ -198,7 +198,7 @@
   return out;
 }
 
-static int was_tried(const pw_fleet_ask *ask, const pw_target *t) {
+static int was_tried(const pw_fleet_criteria *ask, const pw_target *t) {
   return is_among(t, ask->tried, ask->ntried);
 }
 
@@ -224,7 +224,7 @@
 ** the report is out of date, and all gateways would send to the target that was the least
 ** loaded in it. */
 static double load_of(const pw_fleet *f, const pw_target *t,
-                      const service_stats *s, const pw_fleet_ask *ask) {
+                      const service_stats *s, const pw_fleet_criteria *ask) {
   if (ask->is_sticky)
     return t->inflight + t->others;
   double freshness = exp(-(double)f->others_age_ms / work_of(t, s));
@@ -232,15 +232,15 @@
 }
 
 /* Whether a target has an idle connection or may get another one. */
-static int has_connection(const pw_target *t, const pw_fleet_ask *ask) {
+static int has_connection(const pw_target *t, const pw_fleet_criteria *ask) {
   return ask->conns == 0 || t->idle || t->nconns < ask->conns;
 }
 
 /* Whether the rate limit of a cold target lets this gateway send to it now; always so for a warm
 ** one. */
-static int passes_cold_limit(pw_target *t, const pw_fleet_ask *ask,
+static int passes_cold_limit(pw_target *t, const pw_fleet_criteria *ask,
                              int64_t now) {
-  return pwcold_may(&t->cold, &ask->cold, ask->part, ask->draw, now);
+  return pwcold_may_send(&t->cold, &ask->cold, ask->part, ask->draw, now);
 }
 
 static int has_rejected(const pw_target *t, int64_t now) {
@@ -248,21 +248,21 @@
 }
 
 static int is_unreachable(const pw_target *t, int64_t now) {
-  return t->peer_connect_failures || pwreject_is_recent(&t->misses, now);
+  return t->peer_connect_failures ||
+         pwreject_is_recent(&t->connect_failures, now);
 }
 
 /* Whether other targets are preferred, because connects to this one fail, or because it rejects
 ** requests and few retries are left. While retries last, the requests that it does take are worth
 ** the extra hops: at three times the load, with a third of the targets rejecting four in ten, the
 ** other targets alone were overloaded. */
-static int is_avoided(const pw_target *t, const pw_fleet_ask *ask,
+static int is_avoided(const pw_target *t, const pw_fleet_criteria *ask,
                       int64_t now) {
-  return is_unreachable(t, now) ||
-         (ask->spares_retries && has_rejected(t, now));
+  return is_unreachable(t, now) || (ask->save_retries && has_rejected(t, now));
 }
 
 /* Fills one row for each target of the service. Returns their number. */
-static int fill_rows(pw_fleet *f, const pw_fleet_ask *ask,
+static int fill_rows(pw_fleet *f, const pw_fleet_criteria *ask,
                      const service_stats *s, pw_pick *row,
                      pw_target **targets) {
   int n = 0, usable = 0;
@@ -294,17 +294,18 @@
   return n;
 }
 
-static int pick_row(pw_fleet *f, const pw_fleet_ask *ask, const pw_pick *row,
-                    int n) {
+static int pick_row(pw_fleet *f, const pw_fleet_criteria *ask,
+                    const pw_pick *row, int n) {
   static const pw_pick_bound no_bound = {1e9, 1e9, 0, 0};
   int best = -1;
-  if (ask->how == PWPICK_BY_TURN)
-    return pwpick_turn(row, n, f->turn++);
+  if (ask->how == PWPICK_BY_ROUND_ROBIN)
+    return pwpick_round_robin(row, n, f->turn++);
   if (ask->how == PWPICK_BY_HASH && ask->is_sticky)
     return pwpick_home(row, n, ask->key, no_bound);
   if (ask->how == PWPICK_BY_HOME && ask->is_sticky)
     best = pwpick_home(row, n, ask->key, ask->bound);
-  int home_only = ask->how == PWPICK_BY_HOME && ask->is_sticky && ask->stays;
+  int home_only =
+      ask->how == PWPICK_BY_HOME && ask->is_sticky && ask->home_only;
   if (best < 0 && !home_only)
     best = pwpick_least(row, n, ask->wait_ms, ask->draw, ask->bound);
   return best;
@@ -312,8 +313,9 @@
 
 /* Picks an avoided target only if no other one has ample free slots. With fewer free slots, at
 ** high load, requests would queue at the others while the avoided target could run some. */
-static int pick_preferred(pw_fleet *f, const pw_fleet_ask *ask, pw_pick *row,
-                          pw_target *const *targets, int n, int64_t now) {
+static int pick_preferred(pw_fleet *f, const pw_fleet_criteria *ask,
+                          pw_pick *row, pw_target *const *targets, int n,
+                          int64_t now) {
   int best = pick_row(f, ask, row, n);
   if (best < 0 || !is_avoided(targets[best], ask, now))
     return best;
@@ -336,7 +338,7 @@
   f->targets = pw_alloc(sizeof(pw_target *) * f->rows);
 }
 
-pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_ask *ask,
+pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *ask,
                              int64_t now) {
   pw_fleet_picked out = {0};
   reserve_rows(f);
@@ -347,16 +349,16 @@
   int best = pick_preferred(f, ask, row, targets, n, now);
   if (best < 0)
     return out;
-  out.target = pwfleet_hold(targets[best]);
+  out.target = pwfleet_retain(targets[best]);
   pwcold_sent(&targets[best]->cold, &ask->cold, ask->part, now);
   if (!ask->is_sticky)
     return out;
   int home = pwpick_holder(row, n, ask->key);
-  int last = find_row(targets, row, n, ask->last);
+  int last = find_row(targets, row, n, ask->last_target);
   int holder = last >= 0 && last != best ? last : home;
   out.is_home = home == best;
   if (last != best && (holder < 0 || holder == best))
-    holder = find_row(targets, row, n, ask->beginning);
+    holder = find_row(targets, row, n, ask->prefix_target);
   out.holder = holder >= 0 && holder != best ? targets[holder] : NULL;
   return out;
 }
@@ -370,7 +372,7 @@
 }
 
 void pwfleet_rejected(pw_target *t, int had_room, int64_t now) {
-  t->seen_at = t->answered_at = now;
+  t->received_at = t->answered_at = now;
   if (had_room)
     pwreject_note(&t->rejects, now);
 }
@@ -387,8 +389,8 @@
 
 void pwfleet_answered(pw_target *t, double work_ms, int64_t now) {
   t->failures = 0;
-  t->set_aside = 0;
-  t->answered_at = t->seen_at = now;
+  t->ejected_until = 0;
+  t->answered_at = t->received_at = now;
   note_error(t, 0, now);
   if (work_ms > 0 && t->work_ms == 0)
     t->work_ms = work_ms;
@@ -396,20 +398,20 @@
     t->work_ms += WORK_WEIGHT * (work_ms - t->work_ms);
 }
 
-void pwfleet_erred(pw_target *t, int64_t now) {
+void pwfleet_error_answered(pw_target *t, int64_t now) {
   t->failures = 0;
-  t->answered_at = t->seen_at = now;
+  t->answered_at = t->received_at = now;
   note_error(t, 1, now);
 }
 
-int pwfleet_is_dark(const pw_target *t, int64_t now) {
-  return now - t->seen_at > UNRESPONSIVE_MS;
+int pwfleet_is_unresponsive(const pw_target *t, int64_t now) {
+  return now - t->received_at > UNRESPONSIVE_MS;
 }
 
 /* Ejects a target for EJECT_MS, doubled `doublings` times. */
 static void eject(pw_target *t, int doublings, int64_t now) {
   int64_t ms = EJECT_MS << (doublings < 4 ? doublings : 4);
-  t->set_aside = now + (ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
+  t->ejected_until = now + (ms < EJECT_MAX_MS ? ms : EJECT_MAX_MS);
 }
 
 void pwfleet_failed(pw_target *t, int64_t now) {
@@ -420,10 +422,11 @@
 
 /* A single lost packet can delay a connection past its timeout, so one failed connect does not
 ** count against a target that has sent something lately. */
-void pwfleet_unreached(pw_target *t, int64_t now) {
+void pwfleet_connect_failed(pw_target *t, int64_t now) {
   t->failures++;
-  if (t->failures < EJECT_AFTER && !pwfleet_is_dark(t, now))
+  if (t->failures < EJECT_AFTER && !pwfleet_is_unresponsive(t, now))
     return;
   eject(t, t->failures - 1, now);
-  pwreject_note(&t->misses, now); /* spares other gateways the same timeout */
+  pwreject_note(&t->connect_failures,
+                now); /* spares other gateways the same timeout */
 }
--- a/packages/membership/pwfleetroll.c
+++ b/packages/membership/pwfleetroll.c
@@ -20,8 +20,9 @@
 
 static pw_fleet_side side_of(const pw_target *t, const pw_fleet_rollout *r) {
   if (!is_active(r))
-    return PWFLEET_BOTH;
-  return strcmp(t->version, r->version) ? PWFLEET_FROM : PWFLEET_TO;
+    return PWFLEET_ANY_VERSION;
+  return strcmp(t->version, r->version) ? PWFLEET_OLD_VERSION
+                                        : PWFLEET_NEW_VERSION;
 }
 
 /* Puts targets of the new version into the canary, at least one: the one with the least hash,
@@ -30,7 +31,7 @@
   pw_target *least = NULL;
   int n = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
-    if (strcmp(t->service, r->service) != 0 || t->side != PWFLEET_TO)
+    if (strcmp(t->service, r->service) != 0 || t->side != PWFLEET_NEW_VERSION)
       continue;
     t->is_in_canary = pwcanary_takes_part(t->hash, r->canary.share);
     n += t->is_in_canary;
@@ -58,7 +59,7 @@
       now->canary.state != PWCANARY_COMPLETE)
     return;
   for (pw_target *t = f->by_id; t; t = t->hh.next)
-    if (!strcmp(t->service, now->service) && t->side == PWFLEET_FROM)
+    if (!strcmp(t->service, now->service) && t->side == PWFLEET_OLD_VERSION)
       t->is_outdated = 1;
 }
 
@@ -83,6 +84,7 @@
                            double draw) {
   const pw_fleet_rollout *r = find(f->rollouts, f->nrollouts, service);
   if (!is_active(r))
-    return PWFLEET_BOTH;
-  return draw * PWCANARY_ALL < r->canary.share ? PWFLEET_TO : PWFLEET_FROM;
+    return PWFLEET_ANY_VERSION;
+  return draw * PWCANARY_ALL < r->canary.share ? PWFLEET_NEW_VERSION
+                                               : PWFLEET_OLD_VERSION;
 }
--- a/packages/net/pwconn.c
+++ b/packages/net/pwconn.c
@@ -79,7 +79,7 @@
   all->dead = c;
 }
 
-void pwconn_break(pw_conn *c) {
+void pwconn_abort(pw_conn *c) {
   close_conn(c, CLOSE_RESET);
 }
 
@@ -181,7 +181,7 @@
   pwbuf_free(&head);
 }
 
-void pwconn_piece(pw_conn *c, const char *data, size_t n) {
+void pwconn_write(pw_conn *c, const char *data, size_t n) {
   if (n == 0)
     return;
   if (is_http10(c)) {
@@ -267,7 +267,7 @@
 }
 
 static void buffer_read_ahead(pw_conn *c, const char *data, size_t n) {
-  size_t max = c->all->ahead_max ? c->all->ahead_max : READ_AHEAD_MAX;
+  size_t max = c->all->read_ahead_max ? c->all->read_ahead_max : READ_AHEAD_MAX;
   pwbuf_add(&c->read_ahead, data, n);
   if (c->read_ahead.len > max)
     pwtcp_pause(c->tcp, 1);
@@ -280,7 +280,7 @@
     c->since = pwtcp_clock(c->all->tcp);
     c->request.head_max = c->all->limits.header_bytes;
   }
-  size_t used = pwh1_take(&c->request, data, n);
+  size_t used = pwh1_feed(&c->request, data, n);
   c->unparsed = n - used;
   pw_h1_state now = c->request.state;
   int had_head = before == PWH1_HEAD && (now == PWH1_BODY || now == PWH1_DONE);
@@ -337,7 +337,8 @@
   (void)arg;
 }
 
-static const pw_tcp_calls calls = {on_connected, on_data, on_ended, on_drained};
+static const pw_tcp_callbacks calls = {on_connected, on_data, on_ended,
+                                       on_drained};
 
 static void add_conn(pw_conns *s, int fd) {
   pw_conn *c = pw_alloc(sizeof *c);
@@ -483,7 +484,7 @@
   ev_io_start(s->tcp->ev, &s->listening);
 }
 
-void pwconns_unlisten(pw_conns *s) {
+void pwconns_stop_listening(pw_conns *s) {
   if (!s->reap.data || s->listening.fd < 0)
     return;
   ev_io_stop(s->tcp->ev, &s->listening);
@@ -495,9 +496,9 @@
 void pwconns_end(pw_conns *s) {
   if (!s->reap.data)
     return; /* never started */
-  pwconns_unlisten(s);
+  pwconns_stop_listening(s);
   while (s->first)
-    pwconn_break(s->first);
+    pwconn_abort(s->first);
   ev_prepare_stop(s->tcp->ev, &s->reap);
   on_reap(s->tcp->ev, &s->reap, 0);
   pwbuf_free(&s->chunk);
@@ -514,9 +515,9 @@
 
 /* --- idle connections and slow requests --- */
 
-/* The caller has not read its answer yet; if it reads nothing, pwconns_check resets it. */
+/* The caller has not read its answer yet; if it reads nothing, pwconns_close_stalled resets it. */
 static int has_pending_answer(const pw_conn *c) {
-  return c->all->stall_whole_ms && pwtcp_pending(c->tcp) > 0;
+  return c->all->stall_complete_ms && pwtcp_pending(c->tcp) > 0;
 }
 
 /* `now` is of pwtcp_clock: time in which the loop stalled does not count against a caller. */
@@ -541,12 +542,12 @@
 
 /* Whether the caller has read nothing for too long; `now` is of pwtcp_clock. */
 static int has_stalled(pw_conn *c, int64_t now) {
-  uint64_t written = pwtcp_taken(c->tcp);
+  uint64_t written = pwtcp_written(c->tcp);
   if (pwtcp_pending(c->tcp) == 0 || written != c->written || !c->progress_at) {
     c->written = written;
     c->progress_at = now;
   }
-  int64_t max = c->state ? c->all->stall_ms : c->all->stall_whole_ms;
+  int64_t max = c->state ? c->all->stall_ms : c->all->stall_complete_ms;
   return max && now - c->progress_at >= max;
 }
 
@@ -561,7 +562,7 @@
         (long long)s->nstalled, s->count);
 }
 
-size_t pwconns_check(pw_conns *s, int64_t at) {
+size_t pwconns_close_stalled(pw_conns *s, int64_t at) {
   int64_t now = pwlag_clock(&s->tcp->lag, at);
   size_t buffered = 0;
   for (pw_conn *c = s->first, *next; c; c = next) {
@@ -571,7 +572,7 @@
       close_conn(c, CLOSE_RESET);
       continue;
     }
-    buffered += pwtcp_held(c->tcp) + c->body.cap + c->read_ahead.cap;
+    buffered += pwtcp_buffered(c->tcp) + c->body.cap + c->read_ahead.cap;
   }
   return buffered;
 }
@@ -584,7 +585,7 @@
   }
 }
 
-void pwconns_sweep(pw_conns *s, int64_t at) {
+void pwconns_close_expired(pw_conns *s, int64_t at) {
   int64_t now = pwlag_clock(&s->tcp->lag, at);
   for (pw_conn *c = s->first, *next; c; c = next) {
     next = c->next;
--- a/packages/net/pwconn.h
+++ b/packages/net/pwconn.h
@@ -25,13 +25,13 @@
   pw_tcp_loop *tcp;
   pw_conn_limits limits;
   int max; /* connections at once; 0: any number. Idle ones are closed to make room */
-  size_t ahead_max; /* bytes read ahead during a request; 0: a default */
+  size_t read_ahead_max; /* bytes read ahead during a request; 0: a default */
   size_t body_room; /* longest body that memory allows now; 0: no such limit */
 
   /* A connection whose caller reads nothing for so long is reset, ms; 0: never. The first holds
   ** during a request, the second when only complete answers are left to read. */
   int64_t stall_ms;
-  int64_t stall_whole_ms;
+  int64_t stall_complete_ms;
   int send_bytes; /* kernel send buffer of a connection; 0: the system's default */
   const pw_tls_keys *keys;          /* callers use TLS; NULL: plain TCP */
   void *arg;                        /* for the owner */
@@ -69,7 +69,7 @@
   int close_next;  /* the answer closes the connection */
   int is_throttled; /* the next request waits until the caller has read more */
   size_t body_max;  /* limit of the body being received, bytes */
-  uint64_t written; /* pwtcp_taken when progress was last seen */
+  uint64_t written; /* pwtcp_written when progress was last seen */
   int64_t progress_at; /* when output last moved, or none was pending, ms */
   int64_t since; /* when it became idle, or the head's first byte came, ms */
   pw_conn *prev, *next;
@@ -79,17 +79,17 @@
 void pwconns_start(pw_conns *s, int fd);
 
 /* Closes the listening descriptor; open connections stay. */
-void pwconns_unlisten(pw_conns *s);
+void pwconns_stop_listening(pw_conns *s);
 
 /* Closes idle connections, for a planned stop. */
 void pwconns_close_idle(pw_conns *s);
 
 /* Resets connections whose callers read nothing (stall_ms), and returns the bytes buffered for all
 ** others. `at`, here and below: the current pwclock_ms. */
-size_t pwconns_check(pw_conns *s, int64_t at);
+size_t pwconns_close_stalled(pw_conns *s, int64_t at);
 
 /* Closes connections that were idle for too long, and refuses requests that arrive too slowly. */
-void pwconns_sweep(pw_conns *s, int64_t at);
+void pwconns_close_expired(pw_conns *s, int64_t at);
 
 /* Stops listening, resets all connections and frees them. */
 void pwconns_end(pw_conns *s);
@@ -104,11 +104,11 @@
 
 /* Begins an answer of unknown length, sends a piece of its body, ends it. */
 void pwconn_begin(pw_conn *c, int status, const char *lines);
-void pwconn_piece(pw_conn *c, const char *data, size_t n);
+void pwconn_write(pw_conn *c, const char *data, size_t n);
 void pwconn_end(pw_conn *c);
 
 /* Resets the connection, so that the caller does not take a partial answer for a complete one. */
-void pwconn_break(pw_conn *c);
+void pwconn_abort(pw_conn *c);
 
 /* Whether the caller has sent bytes after the request in progress (pipelining). */
 int pwconn_has_more(const pw_conn *c);
--- a/packages/net/pwh1.c
+++ b/packages/net/pwh1.c
@@ -136,7 +136,7 @@
   return skip + end - before;
 }
 
-size_t pwh1_take(pw_h1 *m, const char *data, size_t n) {
+size_t pwh1_feed(pw_h1 *m, const char *data, size_t n) {
   if (m->state == PWH1_HEAD)
     return feed_head(m, data, n);
   if (m->state != PWH1_BODY || n == 0)
@@ -154,13 +154,13 @@
     m->state = PWH1_BAD;
 }
 
-int pwh1_is(const pw_h1_header *h, const char *name) {
+int pwh1_name_is(const pw_h1_header *h, const char *name) {
   return strlen(name) == h->nname && !strncasecmp(h->name, name, h->nname);
 }
 
 const pw_h1_header *pwh1_find(const pw_h1 *m, const char *name) {
   for (int i = 0; i < m->nheaders; i++)
-    if (pwh1_is(&m->header[i], name))
+    if (pwh1_name_is(&m->header[i], name))
       return &m->header[i];
   return NULL;
 }
@@ -187,12 +187,12 @@
   return 0;
 }
 
-int pwh1_is_hop(const pw_h1 *m, const pw_h1_header *h) {
+int pwh1_is_hop_by_hop(const pw_h1 *m, const pw_h1_header *h) {
   static const char *const hop[] = {
       "Connection",        "Keep-Alive", "Proxy-Connection", "TE",    "Trailer",
       "Transfer-Encoding", "Upgrade",    "Content-Length",   "Expect"};
   for (size_t i = 0; i < sizeof hop / sizeof hop[0]; i++)
-    if (pwh1_is(h, hop[i]))
+    if (pwh1_name_is(h, hop[i]))
       return 1;
   return is_listed_in_connection(m, h);
 }
--- a/packages/net/pwh1.h
+++ b/packages/net/pwh1.h
@@ -52,7 +52,7 @@
 /* Parses bytes; returns how many of them belong to this message. Stops when the head has just
 ** become complete (state PWH1_BODY or PWH1_DONE), so that the caller can check it before the
 ** body. */
-size_t pwh1_take(pw_h1 *m, const char *data, size_t n);
+size_t pwh1_feed(pw_h1 *m, const char *data, size_t n);
 
 /* The peer closed the connection: PWH1_DONE if that completes the message, else PWH1_BAD. */
 void pwh1_eof(pw_h1 *m);
@@ -61,12 +61,12 @@
 const pw_h1_header *pwh1_find(const pw_h1 *m, const char *name);
 
 /* Whether a header has this name, compared without case. */
-int pwh1_is(const pw_h1_header *h, const char *name);
+int pwh1_name_is(const pw_h1_header *h, const char *name);
 
 /* Appends a header as a line with its line end. */
 void pwh1_write(pw_buf *out, const pw_h1_header *h);
 
 /* Whether a header is hop-by-hop: it concerns one connection and is not forwarded. */
-int pwh1_is_hop(const pw_h1 *m, const pw_h1_header *h);
+int pwh1_is_hop_by_hop(const pw_h1 *m, const pw_h1_header *h);
 
 #endif
--- a/packages/net/pwtcp.c
+++ b/packages/net/pwtcp.c
@@ -26,13 +26,13 @@
 #define OUT_RETAIN_MAX (16 * 1024)
 #define DRAIN_MS 1000 /* how long a closing connection discards input */
 
-/* Default of lag.turn_ms: the longest iteration of a loop that is not stalled. */
+/* Default of lag.iteration_max_ms: the longest iteration of a loop that is not stalled. */
 #define ITERATION_MAX_MS 500
 #define MS_PER_S 1000.0
 
 struct pw_tcp {
   pw_tcp_loop *l;
-  const pw_tcp_calls *calls;
+  const pw_tcp_callbacks *calls;
   void *arg;
   int fd;
   int connecting;
@@ -67,15 +67,15 @@
   (void)ev;
   (void)events;
   pw_tcp_loop *l = w->data;
-  int64_t lost_ms = pwlag_turn(&l->lag, pwclock_ms());
-  if (lost_ms > 0 && l->held_up)
-    l->held_up(l->arg, lost_ms);
+  int64_t lost_ms = pwlag_iteration(&l->lag, pwclock_ms());
+  if (lost_ms > 0 && l->on_stall)
+    l->on_stall(l->arg, lost_ms);
 }
 
 void pwtcp_loop_init(pw_tcp_loop *l, struct ev_loop *ev) {
   *l = (pw_tcp_loop){.ev = ev,
                      .read_buf = pw_alloc(READ_BYTES),
-                     .lag.turn_ms = ITERATION_MAX_MS};
+                     .lag.iteration_max_ms = ITERATION_MAX_MS};
   ev_prepare_init(&l->reap, reap);
   ev_check_init(&l->iteration, on_iteration);
   ev_set_priority(&l->iteration, EV_MAXPRI);
@@ -200,7 +200,7 @@
   if (c->closed || c->closing)
     return;
   if (c->tls)
-    pwtls_bye(c->tls);
+    pwtls_close_notify(c->tls);
   c->closing = 1;
   c->next = c->l->closing;
   c->l->closing = c;
@@ -353,11 +353,11 @@
   return c->out.len - c->out_at;
 }
 
-size_t pwtcp_held(const pw_tcp *c) {
+size_t pwtcp_buffered(const pw_tcp *c) {
   return c->out.cap;
 }
 
-uint64_t pwtcp_taken(const pw_tcp *c) {
+uint64_t pwtcp_written(const pw_tcp *c) {
   return c->written;
 }
 
@@ -386,7 +386,7 @@
 
 /* --- opening --- */
 
-static pw_tcp *new_conn(pw_tcp_loop *l, int fd, const pw_tcp_calls *calls,
+static pw_tcp *new_conn(pw_tcp_loop *l, int fd, const pw_tcp_callbacks *calls,
                         void *arg) {
   pw_tcp *c = pw_alloc(sizeof *c);
   c->l = l;
@@ -402,7 +402,7 @@
 }
 
 pw_tcp *pwtcp_accepted(pw_tcp_loop *l, int fd, const pw_tls_keys *keys,
-                       const pw_tcp_calls *calls, void *arg) {
+                       const pw_tcp_callbacks *calls, void *arg) {
   pw_tcp *c = new_conn(l, fd, calls, arg);
   if (keys)
     c->tls = pwtls_new(keys, send_tls, c);
@@ -411,7 +411,7 @@
 }
 
 pw_tcp *pwtcp_connect(pw_tcp_loop *l, const struct sockaddr_in *to,
-                      int silent_ms, const pw_tcp_calls *calls, void *arg) {
+                      int silent_ms, const pw_tcp_callbacks *calls, void *arg) {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     return NULL;
--- a/packages/net/pwtcp.h
+++ b/packages/net/pwtcp.h
@@ -24,22 +24,23 @@
   PWTCP_REFUSED /* the connection was never established: nothing was sent */
 } pw_tcp_end;
 
-typedef struct pw_tcp_calls {
+typedef struct pw_tcp_callbacks {
   void (*connected)(void *arg);
   void (*data)(void *arg, const char *data, size_t n);
   void (*ended)(void *arg, pw_tcp_end how);
   void (*drained)(void *arg); /* all pending bytes are written; may be NULL */
-} pw_tcp_calls;
+} pw_tcp_callbacks;
 
 /* State shared by the connections of one loop. */
 typedef struct pw_tcp_loop {
   struct ev_loop *ev;
   ev_prepare reap;
   ev_check iteration; /* runs first in each iteration */
-  pw_lag lag; /* the owner needs a timer that fires within lag.turn_ms */
+  pw_lag
+      lag; /* the owner needs a timer that fires within lag.iteration_max_ms */
 
   /* The loop stalled for lost_ms; called before any other event. May be NULL. */
-  void (*held_up)(void *arg, int64_t lost_ms);
+  void (*on_stall)(void *arg, int64_t lost_ms);
   void *arg;
   pw_tcp *dead;
   pw_tcp *closing; /* connections that wait for their peer to close */
@@ -62,12 +63,12 @@
 
 /* Makes a connection of an accepted descriptor, which it then owns; with keys the peer uses TLS. */
 pw_tcp *pwtcp_accepted(pw_tcp_loop *l, int fd, const pw_tls_keys *keys,
-                       const pw_tcp_calls *calls, void *arg);
+                       const pw_tcp_callbacks *calls, void *arg);
 
 /* Starts to connect; NULL when there is no descriptor or the connect fails at once. `silent_ms`:
 ** TCP_USER_TIMEOUT, after which a peer that acknowledges nothing counts as lost. */
 pw_tcp *pwtcp_connect(pw_tcp_loop *l, const struct sockaddr_in *to,
-                      int silent_ms, const pw_tcp_calls *calls, void *arg);
+                      int silent_ms, const pw_tcp_callbacks *calls, void *arg);
 
 /* Writes now, or buffers until the socket is writable. */
 void pwtcp_write(pw_tcp *c, const void *data, size_t n);
@@ -81,8 +82,8 @@
 
 /* Capacity of the buffer for pending bytes, and how many buffered bytes have been written since the
 ** start. */
-size_t pwtcp_held(const pw_tcp *c);
-uint64_t pwtcp_taken(const pw_tcp *c);
+size_t pwtcp_buffered(const pw_tcp *c);
+uint64_t pwtcp_written(const pw_tcp *c);
 
 /* Whether unread bytes wait in the socket. */
 int pwtcp_has_unread(const pw_tcp *c);
--- a/packages/net/pwtls.c
+++ b/packages/net/pwtls.c
@@ -25,7 +25,7 @@
 
 /* --- keys --- */
 
-void pwtls_keys_drop(pw_tls_keys *k) {
+void pwtls_keys_release(pw_tls_keys *k) {
   if (!k || atomic_fetch_sub(&k->refs, 1) > 1)
     return;
   gnutls_certificate_free_credentials(k->cred);
@@ -42,7 +42,7 @@
   if (gnutls_certificate_set_x509_key_file(k->cred, cert, key,
                                            GNUTLS_X509_FMT_PEM) >= 0)
     return k;
-  pwtls_keys_drop(k);
+  pwtls_keys_release(k);
   return NULL;
 }
 
@@ -89,7 +89,7 @@
   if (!t)
     return;
   gnutls_deinit(t->session);
-  pwtls_keys_drop(t->keys);
+  pwtls_keys_release(t->keys);
   pwbuf_free(&t->in);
   free(t);
 }
@@ -141,7 +141,7 @@
   return n ? -1 : 0;
 }
 
-void pwtls_bye(pw_tls *t) {
+void pwtls_close_notify(pw_tls *t) {
   if (t->is_up)
     gnutls_bye(t->session, GNUTLS_SHUT_WR);
 }
--- a/packages/net/pwtls.h
+++ b/packages/net/pwtls.h
@@ -12,7 +12,7 @@
 /* Loads a certificate and its key from PEM files; NULL when they cannot be read or do not match.
 ** Each connection holds a reference, so the keys may be released while connections go on. */
 pw_tls_keys *pwtls_keys(const char *cert, const char *key);
-void pwtls_keys_drop(pw_tls_keys *k);
+void pwtls_keys_release(pw_tls_keys *k);
 
 /* Session of one connection; `send` sends encrypted bytes to the peer. */
 pw_tls *pwtls_new(const pw_tls_keys *k,
@@ -31,6 +31,6 @@
 int pwtls_write(pw_tls *t, const void *data, size_t n);
 
 /* Sends close_notify: no more data follows. */
-void pwtls_bye(pw_tls *t);
+void pwtls_close_notify(pw_tls *t);
 
 #endif
--- a/packages/policy/pwadmit.c
+++ b/packages/policy/pwadmit.c
@@ -84,8 +84,8 @@
   return (uint32_t)(ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
 }
 
-pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *request,
-                            const pw_pool_sum *pool, int64_t now) {
+pw_admit_answer pwadmit_decide(pw_admit *a, const pw_admit_request *request,
+                               const pw_pool_sum *pool, int64_t now) {
   pw_admit_answer out = {.verdict = PW_ADMIT_REFUSED, .code = PW_E_BUSY};
   int64_t held_ms = pwholdoff_left(&a->hold_off, now);
   int free_slot = a->running < a->slots && held_ms == 0;
@@ -119,9 +119,9 @@
   int n = 0;
   for (; request->workspace[n] && n < PW_NAME_MAX - 1; n++)
     item.workspace[n] = request->workspace[n];
-  out.pushed_out = pwqueue_push(a->queue, &item);
-  if (out.pushed_out == request->job) {
-    out.pushed_out = 0;
+  out.evicted_job = pwqueue_push(a->queue, &item);
+  if (out.evicted_job == request->job) {
+    out.evicted_job = 0;
     return out;
   }
   out.verdict = PW_ADMIT_QUEUED;
--- a/packages/policy/pwadmit.h
+++ b/packages/policy/pwadmit.h
@@ -26,7 +26,7 @@
 } pw_admit;
 
 /* A request to decide on. */
-typedef struct pw_admit_ask {
+typedef struct pw_admit_request {
   const char *workspace;
   double weight;
   int priority;
@@ -37,7 +37,7 @@
   int64_t age_ms;   /* since the entry sent it: large after the agent stalled */
   int may_queue;
   void *job;
-} pw_admit_ask;
+} pw_admit_request;
 
 typedef enum pw_admit_verdict {
   PW_ADMIT_START,
@@ -47,11 +47,11 @@
 
 typedef struct pw_admit_answer {
   pw_admit_verdict verdict;
-  pw_code code;     /* when refused */
-  uint32_t wait;    /* estimated ms until it could start */
-  uint32_t worth;   /* ms of waiting here that the cached prefix is worth */
-  void *pushed_out; /* a queued job to refuse instead of this one, or NULL */
-  int by_bound;     /* a slot was free, but the load bound forbade the start */
+  pw_code code;      /* when refused */
+  uint32_t wait;     /* estimated ms until it could start */
+  uint32_t worth;    /* ms of waiting here that the cached prefix is worth */
+  void *evicted_job; /* a queued job to refuse instead of this one, or NULL */
+  int by_bound;      /* a slot was free, but the load bound forbade the start */
 } pw_admit_answer;
 
 void pwadmit_init(pw_admit *a, int slots, int queue, double rate, int64_t now);
@@ -61,8 +61,8 @@
 #define PWADMIT_REUSE 8.0
 
 /* Decides on a request. With PW_ADMIT_START its cost has been counted. */
-pw_admit_answer pwadmit_ask(pw_admit *a, const pw_admit_ask *request,
-                            const pw_pool_sum *pool, int64_t now);
+pw_admit_answer pwadmit_decide(pw_admit *a, const pw_admit_request *request,
+                               const pw_pool_sum *pool, int64_t now);
 
 /* The next queued job that may start, its cost counted, or NULL. pool_of
 ** returns the load sum of the pool that a job belongs to. */
--- a/packages/policy/pwhold.c
+++ b/packages/policy/pwbuflimits.c
@@ -1,6 +1,6 @@
-/* pwhold.c: limits on what a gateway buffers for callers and targets that read
+/* pwbuflimits.c: limits on what a gateway buffers for callers and targets that read
 ** slowly. */
-#include "pwhold.h"
+#include "pwbuflimits.h"
 
 #define UNWRITTEN (128.0 * 1024)
 #define UNWRITTEN_LEAST 0.0 /* one piece, which is passed on complete */
@@ -23,16 +23,17 @@
   return least + ease * (most - least);
 }
 
-pw_hold pwhold_limits(size_t held, size_t budget) {
+pw_buflimits pwbuflimits_of(size_t held, size_t budget) {
   double left = held < budget ? (double)(budget - held) : 0;
   double ease = left / (double)budget / (1 - FULL_PART);
   if (ease > 1)
     ease = 1;
   double body = BODY_PART * left;
-  return (pw_hold){.untaken = (size_t)between(UNWRITTEN_LEAST, UNWRITTEN, ease),
-                   .ahead = (size_t)between(AHEAD_LEAST, AHEAD, ease),
-                   .body = (size_t)(body > BODY_LEAST ? body : BODY_LEAST),
-                   .stall_ms = (int64_t)between(STALL_LEAST_MS, STALL_MS, ease),
-                   .stall_whole_ms =
-                       (int64_t)between(STALL_LEAST_MS, STALL_WHOLE_MS, ease)};
+  return (pw_buflimits){
+      .unwritten = (size_t)between(UNWRITTEN_LEAST, UNWRITTEN, ease),
+      .ahead = (size_t)between(AHEAD_LEAST, AHEAD, ease),
+      .body = (size_t)(body > BODY_LEAST ? body : BODY_LEAST),
+      .stall_ms = (int64_t)between(STALL_LEAST_MS, STALL_MS, ease),
+      .stall_complete_ms =
+          (int64_t)between(STALL_LEAST_MS, STALL_WHOLE_MS, ease)};
 }
--- a/packages/policy/pwhold.h
+++ b/packages/policy/pwbuflimits.h
@@ -1,4 +1,4 @@
-/* pwhold.h: limits on what a gateway buffers for callers and targets that read
+/* pwbuflimits.h: limits on what a gateway buffers for callers and targets that read
 ** slowly.
 **
 ** Pure. Prevents this failure: many callers stop reading in the middle of
@@ -7,16 +7,16 @@
 ** less than half of the budget is in use, each limit is at its best value;
 ** above that all limits shrink, and callers that read nothing are disconnected
 ** sooner. */
-#ifndef PWHOLD_H
-#define PWHOLD_H
+#ifndef PWBUFLIMITS_H
+#define PWBUFLIMITS_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-typedef struct pw_hold {
+typedef struct pw_buflimits {
   /* Bytes of a stream not yet written to its caller from which on the target
   ** of the stream is paused. */
-  size_t untaken;
+  size_t unwritten;
   /* Bytes read ahead from a caller whose request is in progress. */
   size_t ahead;
   /* Longest body of a request that arrives now. */
@@ -24,10 +24,10 @@
   /* A caller that reads nothing for this time is disconnected, ms. */
   int64_t stall_ms;
   /* The same for a caller whose answers are complete: it pauses no target. */
-  int64_t stall_whole_ms;
-} pw_hold;
+  int64_t stall_complete_ms;
+} pw_buflimits;
 
 /* The limits while `held` bytes of a budget are in use. */
-pw_hold pwhold_limits(size_t held, size_t budget);
+pw_buflimits pwbuflimits_of(size_t held, size_t budget);
 
 #endif
--- a/packages/policy/pwcache.c
+++ b/packages/policy/pwcache.c
@@ -40,7 +40,7 @@
   }
 }
 
-void pwcache_seen(pw_cache *c, const char *chat, uint32_t prompt,
+void pwcache_note(pw_cache *c, const char *chat, uint32_t prompt,
                   uint32_t cached, uint32_t expected, int64_t now) {
   learn(c, cached, expected);
   pwchat_put(c->chats, chat, "", prompt, now);
@@ -63,7 +63,7 @@
     pwchat_forget(c->chats, e->chat);
 }
 
-static void apply_snapshot(pw_cache *c, const pw_cache_news *news) {
+static void apply_snapshot(pw_cache *c, const pw_cache_update *news) {
   pwchat_forget_before(c->chats, news->at);
   for (size_t i = 0; i < news->n; i++)
     apply(c, &news->event[i]);
@@ -71,7 +71,7 @@
 
 /* Applies events in order of their numbers and skips those seen before;
 ** returns 0 at a gap. */
-static int apply_changes(pw_cache *c, const pw_cache_news *news) {
+static int apply_changes(pw_cache *c, const pw_cache_update *news) {
   for (size_t i = 0; i < news->n; i++) {
     const pw_cache_event *e = &news->event[i];
     if (e->number <= c->seen)
@@ -84,9 +84,9 @@
   return c->seen >= news->newest;
 }
 
-int pwcache_news(pw_cache *c, const pw_cache_news *news) {
+int pwcache_update(pw_cache *c, const pw_cache_update *news) {
   int complete = 1;
-  if (news->is_picture) {
+  if (news->is_snapshot) {
     apply_snapshot(c, news);
     c->seen = news->newest;
   } else if (news->epoch != c->epoch) {
--- a/packages/policy/pwcache.h
+++ b/packages/policy/pwcache.h
@@ -33,14 +33,14 @@
 } pw_cache_event;
 
 /* A batch of events. */
-typedef struct pw_cache_news {
+typedef struct pw_cache_update {
   uint64_t epoch;  /* changes when the engine restarts */
   uint64_t newest; /* number of the newest event covered by this batch */
-  int is_picture;  /* a snapshot of the whole cache as of `at`, not changes */
+  int is_snapshot; /* a snapshot of the whole cache as of `at`, not changes */
   int64_t at;      /* of a snapshot, ms on this process's clock */
   pw_cache_event *event;
   size_t n;
-} pw_cache_news;
+} pw_cache_update;
 
 void pwcache_init(pw_cache *c);
 void pwcache_free(pw_cache *c);
@@ -50,7 +50,7 @@
 
 /* The target answered a prompt of `prompt` tokens and found `cached` of them in
 ** its cache; `expected` is what pwcache_expect returned before. */
-void pwcache_seen(pw_cache *c, const char *chat, uint32_t prompt,
+void pwcache_note(pw_cache *c, const char *chat, uint32_t prompt,
                   uint32_t cached, uint32_t expected, int64_t now);
 
 /* The target restarted: its cache is empty and its events begin again. */
@@ -59,6 +59,6 @@
 /* Applies a batch of events. Returns 1 if nothing is missing up to
 ** news->newest, 0 if events are missing, so that a snapshot has to be
 ** requested. */
-int pwcache_news(pw_cache *c, const pw_cache_news *news);
+int pwcache_update(pw_cache *c, const pw_cache_update *news);
 
 #endif
--- a/packages/policy/pwcanary.c
+++ b/packages/policy/pwcanary.c
@@ -120,22 +120,22 @@
 
 /* --- decisions --- */
 
-static int first_share(const pw_canary_ask *in) {
+static int first_share(const pw_canary_input *in) {
   double allowed = EXPOSE_PART * in->expose_share * PWCANARY_ALL;
   return allowed < PWCANARY_SHARE ? (int)allowed : PWCANARY_SHARE;
 }
 
-static int has_room(const pw_canary_ask *in) {
+static int has_room(const pw_canary_input *in) {
   return in->slots_to > 0 && (in->slots_to >= ROOM_PART * in->slots_from ||
                               PW_MUTATION == MUT_NO_ROOM_ASKED);
 }
 
-static int is_past(const pw_canary_ask *in, double part) {
+static int is_past(const pw_canary_input *in, double part) {
   return (double)in->elapsed_ms >= part * (double)in->over_ms;
 }
 
 /* The share that a version is to have now, without evidence against it. */
-static int next_share(const pw_canary *c, const pw_canary_ask *in) {
+static int next_share(const pw_canary *c, const pw_canary_input *in) {
   if (c->share < first_share(in))
     return in->slots_to > 0 ? first_share(in) : c->share;
   if (!is_past(in, CANARY_PART) || !has_room(in))
@@ -151,7 +151,8 @@
   return 1;
 }
 
-int pwcanary_next(const pw_canary *c, const pw_canary_ask *in, pw_canary *out) {
+int pwcanary_next(const pw_canary *c, const pw_canary_input *in,
+                  pw_canary *out) {
   *out = *c;
   if (c->state == PWCANARY_REVERTED && PW_MUTATION == MUT_BACK_AGAIN)
     out->state = PWCANARY_RUNNING;
--- a/packages/policy/pwcanary.h
+++ b/packages/policy/pwcanary.h
@@ -53,7 +53,7 @@
   double good_from, bad_from; /* of all others */
 } pw_canary_route;
 
-typedef struct pw_canary_ask {
+typedef struct pw_canary_input {
   int64_t over_ms;     /* time after its begin by which it is to be complete */
   int64_t elapsed_ms;  /* time since its begin */
   int64_t in_share_ms; /* time for which the current share has been in force */
@@ -61,7 +61,7 @@
   double expose_share; /* share of the requests that a bad version may get */
   const pw_canary_route *route;
   int nroutes;
-} pw_canary_ask;
+} pw_canary_input;
 
 /* Adds the answers of `from`. */
 void pwcanary_add(pw_canary_route *to, const pw_canary_route *from);
@@ -70,7 +70,8 @@
 double pwcanary_ratio(const pw_canary_route *route, int n);
 
 /* Decides on the next state; returns whether anything changes. */
-int pwcanary_next(const pw_canary *c, const pw_canary_ask *in, pw_canary *out);
+int pwcanary_next(const pw_canary *c, const pw_canary_input *in,
+                  pw_canary *out);
 
 const char *pwcanary_state_name(pw_canary_state s);
 pw_canary_state pwcanary_state_of(const char *name);
--- a/packages/policy/pwgather.c
+++ b/packages/policy/pwcoalesce.c
@@ -1,6 +1,6 @@
-/* pwgather.c: how long updates are coalesced before they are sent to
+/* pwcoalesce.c: how long updates are coalesced before they are sent to
 ** watchers. */
-#include "pwgather.h"
+#include "pwcoalesce.h"
 
 #define LEAST_MS 30
 #define MS_PER_RELYING 2.0  /* as much as a table of changes to each */
@@ -10,10 +10,10 @@
   return ms > LEAST_MS ? (int64_t)ms : LEAST_MS;
 }
 
-int64_t pwgather_targets_ms(int relying, int others) {
+int64_t pwcoalesce_targets_ms(int relying, int others) {
   return at_least(MS_PER_RELYING * relying + MS_PER_WATCHER * others);
 }
 
-int64_t pwgather_versions_ms(int watchers) {
+int64_t pwcoalesce_versions_ms(int watchers) {
   return at_least(MS_PER_WATCHER * watchers);
 }
--- a/packages/policy/pwgather.h
+++ b/packages/policy/pwcoalesce.h
@@ -1,4 +1,4 @@
-/* pwgather.h: how long updates are coalesced before they are sent to watchers.
+/* pwcoalesce.h: how long updates are coalesced before they are sent to watchers.
 **
 ** Pure. The problem: after a loss of all targets, hundreds of them return
 ** within seconds, a change every few ms, and hundreds of gateways have to be
@@ -7,18 +7,18 @@
 ** gateway can answer no request before it has the configuration, which changes
 ** rarely: the notice of a newer version waits much less, and separately from
 ** other updates. */
-#ifndef PWGATHER_H
-#define PWGATHER_H
+#ifndef PWCOALESCE_H
+#define PWCOALESCE_H
 
 #include <stdint.h>
 
 /* Interval between updates on targets, ms. `relying` watchers are sent all
 ** changes, `others` only what targets reported to this instance, and targets
 ** that leave. */
-int64_t pwgather_targets_ms(int relying, int others);
+int64_t pwcoalesce_targets_ms(int relying, int others);
 
 /* Interval between notices of new versions, of the configuration and others, to
 ** all watchers, ms. */
-int64_t pwgather_versions_ms(int watchers);
+int64_t pwcoalesce_versions_ms(int watchers);
 
 #endif
--- a/packages/policy/pwcold.c
+++ b/packages/policy/pwcold.c
@@ -16,10 +16,10 @@
 ** delay the next one. */
 #define LATE_SHARE 0.25
 
-int pwcold_is(const pw_cold *c, const pw_cold_service *s, int64_t now) {
+int pwcold_is_cold(const pw_cold *c, const pw_cold_service *s, int64_t now) {
   if (s->ms <= 0 || s->per_s <= 0)
     return 0;
-  return now < c->until || (c->doubt_at && now < c->doubt_at + s->ms);
+  return now < c->until || (c->maybe_cold_at && now < c->maybe_cold_at + s->ms);
 }
 
 /* Interval in ms between two requests of a gateway. */
@@ -29,9 +29,9 @@
 }
 
 /* The first turn is random, so that not all gateways send at the same time. */
-int pwcold_may(pw_cold *c, const pw_cold_service *s, double part, double draw,
-               int64_t now) {
-  if (!pwcold_is(c, s, now)) {
+int pwcold_may_send(pw_cold *c, const pw_cold_service *s, double part,
+                    double draw, int64_t now) {
+  if (!pwcold_is_cold(c, s, now)) {
     c->next_at = 0;
     return 1;
   }
@@ -42,7 +42,7 @@
 
 void pwcold_sent(pw_cold *c, const pw_cold_service *s, double part,
                  int64_t now) {
-  if (!pwcold_is(c, s, now))
+  if (!pwcold_is_cold(c, s, now))
     return;
   double interval = interval_of(s, part);
   int is_late = (double)(now - c->next_at) > LATE_SHARE * interval;
--- a/packages/policy/pwcold.h
+++ b/packages/policy/pwcold.h
@@ -20,20 +20,21 @@
 
 /* What is known of one target, and when this gateway may send to it. */
 typedef struct pw_cold {
-  int64_t until;    /* the target reported that it is cold until then, ms */
-  int64_t doubt_at; /* it may have restarted unnoticed by then, ms; 0: it has
+  int64_t until; /* the target reported that it is cold until then, ms */
+  int64_t
+      maybe_cold_at; /* it may have restarted unnoticed by then, ms; 0: it has
                        not */
-  int64_t next_at;  /* next request of this gateway while cold; 0: not set */
+  int64_t next_at;   /* next request of this gateway while cold; 0: not set */
 } pw_cold;
 
 /* Whether the target is cold, or has to be treated as cold. */
-int pwcold_is(const pw_cold *c, const pw_cold_service *s, int64_t now);
+int pwcold_is_cold(const pw_cold *c, const pw_cold_service *s, int64_t now);
 
 /* Whether this gateway may send it a request now. `part` is this gateway's
 ** share of all requests, above 0 and at most 1; `draw` is uniform in [0,
 ** 1). */
-int pwcold_may(pw_cold *c, const pw_cold_service *s, double part, double draw,
-               int64_t now);
+int pwcold_may_send(pw_cold *c, const pw_cold_service *s, double part,
+                    double draw, int64_t now);
 
 /* A request is sent to it now. */
 void pwcold_sent(pw_cold *c, const pw_cold_service *s, double part,
--- a/packages/policy/pwmesh.c
+++ b/packages/policy/pwmesh.c
@@ -76,11 +76,11 @@
 
 pw_mesh_watch pwmesh_watch_of(const pw_mesh *m, const pw_mesh_peer *p) {
   if (m->is_member && (p->is_member || PW_MUTATION != MUT_MEMBERS_ONLY))
-    return PWMESH_FOR_ALL;
-  return p->is_member ? PWMESH_FOR_LISTS : PWMESH_NOT;
+    return PWMESH_TARGETS;
+  return p->is_member ? PWMESH_MEMBERS : PWMESH_NONE;
 }
 
-uint64_t pwmesh_held(const pw_mesh *m) {
+uint64_t pwmesh_replicated_seq(const pw_mesh *m) {
   uint64_t most = 0;
   for (int i = 0; i < m->n; i++)
     if (m->peer[i]->holds > most)
@@ -88,9 +88,10 @@
   return most;
 }
 
-int pwmesh_is_heard(const pw_mesh *m, int64_t now) {
+int pwmesh_is_watched(const pw_mesh *m, int64_t now) {
   for (int i = 0; i < m->n; i++)
-    if (m->peer[i]->watched_at && now - m->peer[i]->watched_at < PWMESH_DEAF_MS)
+    if (m->peer[i]->watched_at &&
+        now - m->peer[i]->watched_at < PWMESH_WATCH_TIMEOUT_MS)
       return 1;
   return 0;
 }
--- a/packages/policy/pwmesh.h
+++ b/packages/policy/pwmesh.h
@@ -11,7 +11,7 @@
 #define PWMESH_H
 
 #include "pwlimits.h"
-#include "pwtelling.h"
+#include "pwsequence.h"
 
 #include <stdint.h>
 
@@ -20,13 +20,13 @@
 
 /* A peer that has not sent a watch for this time does not receive updates from
 ** this instance, ms. */
-#define PWMESH_DEAF_MS 2500
+#define PWMESH_WATCH_TIMEOUT_MS 2500
 
 /* What one instance watches another for. */
 typedef enum pw_mesh_watch {
-  PWMESH_NOT,
-  PWMESH_FOR_LISTS, /* the list of the members */
-  PWMESH_FOR_ALL    /* updates on all targets */
+  PWMESH_NONE,
+  PWMESH_MEMBERS, /* the list of the members */
+  PWMESH_TARGETS  /* updates on all targets */
 } pw_mesh_watch;
 
 /* Another control instance. */
@@ -35,9 +35,9 @@
   int is_member;      /* of the consensus group, as far as is known here */
   int64_t named_at;   /* when it was last named, ms */
   int64_t watched_at; /* when it last watched for all updates, ms; 0: never */
-  uint64_t holds;   /* it has all updates of this instance up to this number */
-  pw_telling told;  /* which of its updates have arrived here */
-  int64_t asked_at; /* when this instance last sent it a watch, ms */
+  uint64_t holds; /* it has all updates of this instance up to this number */
+  pw_sequence received; /* which of its updates have arrived here */
+  int64_t asked_at;     /* when this instance last sent it a watch, ms */
 } pw_mesh_peer;
 
 typedef struct pw_mesh {
@@ -67,10 +67,10 @@
 
 /* The sequence number up to which at least one peer has all updates of this
 ** instance. */
-uint64_t pwmesh_held(const pw_mesh *m);
+uint64_t pwmesh_replicated_seq(const pw_mesh *m);
 
 /* Whether at least one peer receives all updates of this instance. */
-int pwmesh_is_heard(const pw_mesh *m, int64_t now);
+int pwmesh_is_watched(const pw_mesh *m, int64_t now);
 
 /* Number of known observers, this instance included if it is one. */
 int pwmesh_observers(const pw_mesh *m);
--- a/packages/policy/pwmove.c
+++ b/packages/policy/pwmove.c
@@ -37,7 +37,7 @@
   return share < 1 ? share : 1;
 }
 
-int pwmove_takes(pw_move *m, uint32_t tokens) {
+int pwmove_should_import(pw_move *m, uint32_t tokens) {
   if (!m->may_import || tokens < PWMOVE_TOKENS_LEAST)
     return 0;
   if (pwmove_share(m) < 1 || ++m->passed >= PWMOVE_TRY_EVERY) {
--- a/packages/policy/pwmove.h
+++ b/packages/policy/pwmove.h
@@ -35,6 +35,6 @@
 double pwmove_share(const pw_move *m);
 
 /* Whether to import a prefix of that many tokens from another target. */
-int pwmove_takes(pw_move *m, uint32_t tokens);
+int pwmove_should_import(pw_move *m, uint32_t tokens);
 
 #endif
--- a/packages/policy/pwpick.c
+++ b/packages/policy/pwpick.c
@@ -169,7 +169,7 @@
   return best;
 }
 
-int pwpick_turn(const pw_pick *t, int n, uint64_t turn) {
+int pwpick_round_robin(const pw_pick *t, int n, uint64_t turn) {
   for (int k = 0; k < n; k++) {
     int i = (int)((turn + (uint64_t)k) % (uint64_t)n);
     if (t[i].is_usable)
--- a/packages/policy/pwpick.h
+++ b/packages/policy/pwpick.h
@@ -35,12 +35,12 @@
 
 /* Selection policies. All but PWPICK_BY_HOME are naive and serve as baselines
 ** in comparisons. */
-typedef enum pw_pick_how {
+typedef enum pw_pick_policy {
   PWPICK_BY_HOME, /* the prompt's home within the bound, or else by load */
   PWPICK_BY_LOAD, /* the shortest expected wait */
-  PWPICK_BY_TURN, /* round robin */
-  PWPICK_BY_HASH  /* the prompt's home, however loaded it is */
-} pw_pick_how;
+  PWPICK_BY_ROUND_ROBIN, /* round robin */
+  PWPICK_BY_HASH         /* the prompt's home, however loaded it is */
+} pw_pick_policy;
 
 /* The load that a target may reach with one more request. */
 double pwpick_limit(const pw_pick *t, int n, pw_pick_bound bound);
@@ -67,7 +67,7 @@
                  pw_pick_bound bound);
 
 /* Round robin: the first usable target from position `turn` on; -1: none. */
-int pwpick_turn(const pw_pick *t, int n, uint64_t turn);
+int pwpick_round_robin(const pw_pick *t, int n, uint64_t turn);
 
 /* Expected wait in ms for a slot at a target. */
 double pwpick_wait(const pw_pick *t);
--- a/packages/policy/pwplace.c
+++ b/packages/policy/pwplace.c
@@ -14,7 +14,8 @@
   int n;
   int weighted; /* the weights differ */
   pw_place_target *t;
-  uint16_t (*slot)[PW_RANKS]; /* indexes into t, best first, or NONE */
+  uint16_t (
+      *slot)[PW_PLACEMENT_RANKS]; /* indexes into t, best first, or NONE */
 };
 
 uint64_t pwplace_id(const char *name) {
@@ -28,7 +29,7 @@
 }
 
 static uint32_t slot_of(uint64_t key) {
-  return (uint32_t)(key % PW_SLOTS);
+  return (uint32_t)(key % PW_PLACEMENT_SLOTS);
 }
 
 /* Hash of slot and target, uniformly distributed. */
@@ -58,14 +59,14 @@
 static void insert(const pw_place *p, uint32_t slot, double *scores, int i) {
   uint16_t *row = p->slot[slot];
   double s = score(slot, &p->t[i], p->weighted);
-  int at = PW_RANKS;
+  int at = PW_PLACEMENT_RANKS;
   while (at > 0 &&
          (row[at - 1] == NONE ||
           is_better(s, p->t[i].id, scores[at - 1], p->t[row[at - 1]].id)))
     at--;
-  if (at == PW_RANKS)
+  if (at == PW_PLACEMENT_RANKS)
     return;
-  for (int j = PW_RANKS - 1; j > at; j--) {
+  for (int j = PW_PLACEMENT_RANKS - 1; j > at; j--) {
     row[j] = row[j - 1];
     scores[j] = scores[j - 1];
   }
@@ -75,8 +76,8 @@
 
 /* Computes the row of a slot from all targets. */
 static void fill_slot(const pw_place *p, uint32_t slot) {
-  double scores[PW_RANKS];
-  for (int j = 0; j < PW_RANKS; j++)
+  double scores[PW_PLACEMENT_RANKS];
+  for (int j = 0; j < PW_PLACEMENT_RANKS; j++)
     p->slot[slot][j] = NONE;
   for (int i = 0; i < p->n; i++)
     insert(p, slot, scores, i);
@@ -86,9 +87,9 @@
 ** target is computed from all targets. */
 static void carry_slot(const pw_place *p, const pw_place *old, uint32_t slot,
                        const uint16_t *now_at, const int *added, int nadded) {
-  double scores[PW_RANKS];
+  double scores[PW_PLACEMENT_RANKS];
   uint16_t *row = p->slot[slot];
-  for (int j = 0; j < PW_RANKS; j++) {
+  for (int j = 0; j < PW_PLACEMENT_RANKS; j++) {
     uint16_t was = old->slot[slot][j];
     row[j] = was == NONE ? NONE : now_at[was];
     if (was != NONE && row[j] == NONE) {
@@ -130,7 +131,7 @@
     if (at < 0 || old->t[at].weight != p->t[i].weight)
       added[nadded++] = i;
   }
-  for (uint32_t s = 0; s < PW_SLOTS; s++)
+  for (uint32_t s = 0; s < PW_PLACEMENT_SLOTS; s++)
     carry_slot(p, old, s, now_at, added, nadded);
   free(now_at);
   free(added);
@@ -145,12 +146,12 @@
   qsort(p->t, (size_t)n, sizeof *t, by_id);
   for (int i = 1; i < n; i++)
     p->weighted |= p->t[i].weight != p->t[0].weight;
-  p->slot = pw_alloc(sizeof *p->slot * PW_SLOTS);
+  p->slot = pw_alloc(sizeof *p->slot * PW_PLACEMENT_SLOTS);
   if (old && old->n && old->weighted == p->weighted) {
     carry(p, old);
     return p;
   }
-  for (uint32_t s = 0; s < PW_SLOTS; s++)
+  for (uint32_t s = 0; s < PW_PLACEMENT_SLOTS; s++)
     fill_slot(p, s);
   return p;
 }
@@ -168,7 +169,7 @@
 }
 
 uint64_t pwplace_rank(const pw_place *p, uint64_t key, int rank) {
-  if (rank < 0 || rank >= PW_RANKS)
+  if (rank < 0 || rank >= PW_PLACEMENT_RANKS)
     return 0;
   uint16_t i = p->slot[slot_of(key)][rank];
   return i == NONE ? 0 : p->t[i].id;
--- a/packages/policy/pwplace.h
+++ b/packages/policy/pwplace.h
@@ -1,6 +1,6 @@
 /* pwplace.h: home of a chat by rendezvous hashing through a slot table.
 **
-** A chat's key maps to one of PW_SLOTS slots; each slot ranks its PW_RANKS
+** A chat's key maps to one of PW_PLACEMENT_SLOTS slots; each slot ranks its PW_PLACEMENT_RANKS
 ** best targets by weighted rendezvous score. A pick is one table read however
 ** many targets there are; a target that joins or leaves only changes the slots
 ** that it is ranked in. Tables are immutable and may be read by any thread. */
--- a/packages/policy/pwplan.c
+++ b/packages/policy/pwplan.c
@@ -29,7 +29,7 @@
 }
 
 static int is_loading(const pw_plan_slot *s) {
-  return s->has_load && !s->acted;
+  return s->has_load && !s->load_ended;
 }
 
 int pwplan_serving(const pw_plan_slot *slot, int n, const char *version) {
@@ -60,7 +60,7 @@
   for (int i = 0; i < n; i++) {
     const pw_plan_slot *s = &slot[i];
     int in_service = s->has_serve && !strcmp(s->serve, s->load);
-    if (!s->has_load || !s->acted)
+    if (!s->has_load || !s->load_ended)
       continue;
     if (s->loaded && !in_service)
       return (pw_plan_step){PW_PLAN_SERVE, i, NULL};
@@ -97,7 +97,8 @@
 static int count_out(const choice *c, int n) {
   int out_of_service = 0;
   for (int i = 0; i < n; i++)
-    out_of_service += !c[i].s->has_serve && c[i].s->failures < PWPLAN_HOPELESS;
+    out_of_service +=
+        !c[i].s->has_serve && c[i].s->failures < PWPLAN_FAILURES_MAX;
   return out_of_service;
 }
 
@@ -112,10 +113,10 @@
   return !s->loaded && now >= s->retry_at;
 }
 
-static pw_plan_step next_load(const pw_plan_ask *in, const choice *c, int n,
+static pw_plan_step next_load(const pw_plan_input *in, const choice *c, int n,
                               int64_t now) {
   int to = (int)ceil(n * in->share / ALL);
-  int most = (int)(n * PWPLAN_AWAY);
+  int most = (int)(n * PWPLAN_OUT_SHARE);
   int room = (most > 1 ? most : 1) - count_out(c, n);
   for (int i = 0; i < n; i++) {
     const char *version = i < to ? in->to : in->from;
@@ -127,8 +128,8 @@
   return (pw_plan_step){0};
 }
 
-pw_plan_step pwplan_next(const pw_plan_ask *in, const pw_plan_slot *slot, int n,
-                         int64_t now) {
+pw_plan_step pwplan_next(const pw_plan_input *in, const pw_plan_slot *slot,
+                         int n, int64_t now) {
   pw_plan_step step = follow_loads(slot, n);
   if (step.kind != PW_PLAN_NONE || n <= 0)
     return step;
--- a/packages/policy/pwplan.h
+++ b/packages/policy/pwplan.h
@@ -10,8 +10,9 @@
 
 #include <stdint.h>
 
-#define PWPLAN_AWAY 0.1   /* share of a pool that may be out of service */
-#define PWPLAN_HOPELESS 3 /* failures from which on no one waits for a target */
+#define PWPLAN_OUT_SHARE 0.1 /* share of a pool that may be out of service */
+#define PWPLAN_FAILURES_MAX                                                    \
+  3 /* failures from which on no one waits for a target */
 #define PWPLAN_RETRY_MS 1000
 #define PWPLAN_RETRY_MAX_MS 60000
 
@@ -23,18 +24,18 @@
   char load[PW_NAME_MAX];  /* version that it was ordered to load */
   int has_serve;           /* entries may send it chats */
   char serve[PW_NAME_MAX]; /* version that it serves */
-  int acted;               /* its agent has finished the order */
+  int load_ended;          /* its agent has finished the order */
   int loaded;              /* the version was loaded and is still there */
   int failures;            /* loads that failed in a row */
   int64_t retry_at;        /* after a failed load: not before this, ms */
 } pw_plan_slot;
 
-typedef struct pw_plan_ask {
+typedef struct pw_plan_input {
   const char *from, *to;
   double share; /* percent of the targets that are to serve `to` */
   int replicas; /* targets to serve the model; 0: all */
   int may_load; /* the weight store's limit permits another load */
-} pw_plan_ask;
+} pw_plan_input;
 
 typedef enum pw_plan_kind {
   PW_PLAN_NONE,
@@ -50,10 +51,10 @@
   const char *version; /* of PW_PLAN_LOAD: `from` or `to` */
 } pw_plan_step;
 
-/* The next step for one model. It never takes more than PWPLAN_AWAY of the
+/* The next step for one model. It never takes more than PWPLAN_OUT_SHARE of the
 ** targets that are to serve it (at least one) out of service at a time. */
-pw_plan_step pwplan_next(const pw_plan_ask *in, const pw_plan_slot *slot, int n,
-                         int64_t now);
+pw_plan_step pwplan_next(const pw_plan_input *in, const pw_plan_slot *slot,
+                         int n, int64_t now);
 
 /* Number of targets that serve `version`, or any version when it is NULL. */
 int pwplan_serving(const pw_plan_slot *slot, int n, const char *version);
--- a/packages/policy/pwquarantine.c
+++ b/packages/policy/pwquarantine.c
@@ -112,9 +112,9 @@
 static quar_case *add(pw_quarantine *q, uint64_t fingerprint) {
   make_room(q);
   quar_case *c = pw_alloc(sizeof *c);
-  c->row.sign = fingerprint;
+  c->row.fingerprint = fingerprint;
   q->nunsent++;
-  HASH_ADD(hh, q->cases, row.sign, sizeof c->row.sign, c);
+  HASH_ADD(hh, q->cases, row.fingerprint, sizeof c->row.fingerprint, c);
   return c;
 }
 
@@ -158,22 +158,22 @@
 
 /* It was answered at `at`: the crashes before that are taken back, at other
 ** instances as well if there are several. */
-static pw_quar_news take_back(pw_quarantine *q, uint64_t fingerprint,
-                              int64_t at) {
+static pw_quar_change take_back(pw_quarantine *q, uint64_t fingerprint,
+                                int64_t at) {
   quar_case *c = find(q, fingerprint);
   if (!c || c->row.n == 0)
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   if (c->row.n < TAKE_BACK_LEAST) {
     drop(q, c);
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   }
   int was_held = c->held_at != 0;
   release(q, c, at);
-  return was_held ? PWQUAR_RELEASED : PWQUAR_OLD;
+  return was_held ? PWQUAR_RELEASED : PWQUAR_UNCHANGED;
 }
 
-pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
-                             int64_t now) {
+pw_quar_change pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
+                               int64_t now) {
   *slot_of(q, fingerprint) = (answered){fingerprint, now};
   return take_back(q, fingerprint, now);
 }
@@ -189,7 +189,7 @@
 
 /* Counts a crash unless it was counted before; returns whether it was new. */
 static int count_crash(pw_quarantine *q, quar_case *c, uint64_t target) {
-  if (c->row.n == PW_QUARANTINE_ENDS || has_target(&c->row, target))
+  if (c->row.n == PW_QUARANTINE_CRASHES || has_target(&c->row, target))
     return 0;
   c->row.target[c->row.n++] = target;
   mark_changed(q, c);
@@ -197,11 +197,11 @@
 }
 
 /* Puts the request in quarantine if enough targets have crashed. */
-static pw_quar_news check_hold(pw_quarantine *q, quar_case *c, int64_t at) {
-  if (c->row.n < PW_QUARANTINE_ENDS || c->held_at)
-    return PWQUAR_ENDED;
+static pw_quar_change check_hold(pw_quarantine *q, quar_case *c, int64_t at) {
+  if (c->row.n < PW_QUARANTINE_CRASHES || c->held_at)
+    return PWQUAR_CRASHED;
   c->held_at = at;
-  c->hold_ms = hold_of(q, c->row.sign, c->holds, at);
+  c->hold_ms = hold_of(q, c->row.fingerprint, c->holds, at);
   q->held++;
   return PWQUAR_BEGUN;
 }
@@ -215,16 +215,16 @@
   return XXH3_64bits(both, sizeof both);
 }
 
-pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t fingerprint,
-                          uint64_t target, int64_t now) {
+pw_quar_change pwquar_crashed(pw_quarantine *q, uint64_t fingerprint,
+                              uint64_t target, int64_t now) {
   assert(fingerprint);
   if (was_answered(q, fingerprint, now))
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   quar_case *c = find(q, fingerprint);
   if (!c)
     c = add(q, fingerprint);
   if (!count_crash(q, c, id_of_crash(c, target, now)))
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   q->total++;
   c->at = now;
   return check_hold(q, c, now);
@@ -240,7 +240,7 @@
   return left > 0 ? left : 0;
 }
 
-int pwquar_ends(const pw_quarantine *q, uint64_t fingerprint) {
+int pwquar_crashes(const pw_quarantine *q, uint64_t fingerprint) {
   const quar_case *c = find(q, fingerprint);
   return c ? c->row.n : 0;
 }
@@ -269,7 +269,7 @@
 
 /* Cases sent least often come first, so that a large number of simultaneous
 ** crashes does not delay newer changes. */
-size_t pwquar_tell(pw_quarantine *q, pw_quar_row *row, int64_t now) {
+size_t pwquar_updates(pw_quarantine *q, pw_quar_row *row, int64_t now) {
   size_t n = 0;
   if (!q->nunsent && !q->held)
     return 0;
@@ -295,12 +295,12 @@
 }
 
 /* Takes in an answer that another instance saw. */
-static pw_quar_news receive_answer(pw_quarantine *q, const pw_quar_row *row,
-                                   int64_t now) {
-  answered *a = slot_of(q, row->sign);
-  if (a->fingerprint != row->sign || a->at < now - row->age_ms)
-    *a = (answered){row->sign, now - row->age_ms};
-  return take_back(q, row->sign, now - row->age_ms);
+static pw_quar_change receive_answer(pw_quarantine *q, const pw_quar_row *row,
+                                     int64_t now) {
+  answered *a = slot_of(q, row->fingerprint);
+  if (a->fingerprint != row->fingerprint || a->at < now - row->age_ms)
+    *a = (answered){row->fingerprint, now - row->age_ms};
+  return take_back(q, row->fingerprint, now - row->age_ms);
 }
 
 /* Announces that the request was answered here, against a row with crashes. */
@@ -311,34 +311,34 @@
   release(q, c, slot_of(q, fingerprint)->at);
 }
 
-pw_quar_news pwquar_hear(pw_quarantine *q, const pw_quar_row *row,
-                         int64_t now) {
-  if (!row->sign || row->n < 0 || row->n > PW_QUARANTINE_ENDS ||
+pw_quar_change pwquar_receive(pw_quarantine *q, const pw_quar_row *row,
+                              int64_t now) {
+  if (!row->fingerprint || row->n < 0 || row->n > PW_QUARANTINE_CRASHES ||
       row->age_ms < 0 || row->age_ms >= PW_QUARANTINE_MS)
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   if (row->n == 0)
     return receive_answer(q, row, now);
-  if (was_answered(q, row->sign, now)) {
+  if (was_answered(q, row->fingerprint, now)) {
     if (row->n >= TAKE_BACK_LEAST)
-      contradict(q, row->sign);
-    return PWQUAR_OLD;
+      contradict(q, row->fingerprint);
+    return PWQUAR_UNCHANGED;
   }
-  quar_case *c = find(q, row->sign);
+  quar_case *c = find(q, row->fingerprint);
   int holds = c ? c->holds : 0;
-  if (row->n == PW_QUARANTINE_ENDS &&
-      row->age_ms >= hold_of(q, row->sign, holds ? holds - 1 : 0, now))
-    return PWQUAR_OLD; /* that quarantine has ended here */
+  if (row->n == PW_QUARANTINE_CRASHES &&
+      row->age_ms >= hold_of(q, row->fingerprint, holds ? holds - 1 : 0, now))
+    return PWQUAR_UNCHANGED; /* that quarantine has ended here */
   if (!c)
-    c = add(q, row->sign);
+    c = add(q, row->fingerprint);
   int added = 0;
   for (int i = 0; i < row->n; i++)
     added += count_crash(q, c, row->target[i]);
   if (!added)
-    return PWQUAR_OLD;
+    return PWQUAR_UNCHANGED;
   q->total += added;
   c->at = now - row->age_ms;
   return check_hold(q, c,
-                    row->n == PW_QUARANTINE_ENDS ? now - row->age_ms : now);
+                    row->n == PW_QUARANTINE_CRASHES ? now - row->age_ms : now);
 }
 
 /* --- upkeep --- */
@@ -348,7 +348,7 @@
   q->held--;
   c->held_at = 0;
   c->holds++;
-  c->row.n = PW_QUARANTINE_ENDS - 1;
+  c->row.n = PW_QUARANTINE_CRASHES - 1;
   c->at = now;
   q->nunsent -= c->sends < SENDS;
   c->sends = SENDS;
--- a/packages/policy/pwquarantine.h
+++ b/packages/policy/pwquarantine.h
@@ -6,7 +6,7 @@
 ** instance, up to ten times a second among the normal requests; each crash
 ** takes some of those with it. Every instance counts the targets that crashed
 ** while running a request, announces them to the others, and sends the request
-** nowhere from PW_QUARANTINE_ENDS crashes on.
+** nowhere from PW_QUARANTINE_CRASHES crashes on.
 **
 ** A request that a target answered with success is not the cause. An answer
 ** takes back all crashes counted before it, at every instance, and for a while
@@ -26,18 +26,18 @@
 typedef struct pw_quarantine pw_quarantine;
 
 /* What a call changed. */
-typedef enum pw_quar_news {
-  PWQUAR_OLD,     /* nothing: it was known before */
-  PWQUAR_ENDED,   /* another target has crashed while running the request */
-  PWQUAR_BEGUN,   /* ... and the request is in quarantine from now on */
-  PWQUAR_RELEASED /* it was in quarantine, and is not the cause after all */
-} pw_quar_news;
+typedef enum pw_quar_change {
+  PWQUAR_UNCHANGED, /* nothing: it was known before */
+  PWQUAR_CRASHED,   /* another target has crashed while running the request */
+  PWQUAR_BEGUN,     /* ... and the request is in quarantine from now on */
+  PWQUAR_RELEASED   /* it was in quarantine, and is not the cause after all */
+} pw_quar_change;
 
 /* The state of one request in an update. */
 typedef struct pw_quar_row {
-  uint64_t sign;                       /* fingerprint, by pwsign_of */
-  uint64_t target[PW_QUARANTINE_ENDS]; /* incarnations that crashed */
-  int n;                               /* of them; 0: it was answered */
+  uint64_t fingerprint;                   /* fingerprint, by pwfingerprint_of */
+  uint64_t target[PW_QUARANTINE_CRASHES]; /* incarnations that crashed */
+  int n;                                  /* of them; 0: it was answered */
   int64_t age_ms; /* of the quarantine, else of its newest crash or answer */
 } pw_quar_row;
 
@@ -48,24 +48,24 @@
 ** incarnation, the same at every instance. A target that restarts and crashes
 ** again before any heartbeat of its new incarnation is reported with the same
 ** id, some time later. */
-pw_quar_news pwquar_ended(pw_quarantine *q, uint64_t fingerprint,
-                          uint64_t target, int64_t now);
+pw_quar_change pwquar_crashed(pw_quarantine *q, uint64_t fingerprint,
+                              uint64_t target, int64_t now);
 
 /* A target answered the request with success. */
-pw_quar_news pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
-                             int64_t now);
+pw_quar_change pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
+                               int64_t now);
 
 /* Remaining ms in quarantine; 0: it is not in quarantine. */
 int64_t pwquar_left(const pw_quarantine *q, uint64_t fingerprint, int64_t now);
 
 /* Number of targets known to have crashed while running the request. */
-int pwquar_ends(const pw_quarantine *q, uint64_t fingerprint);
+int pwquar_crashes(const pw_quarantine *q, uint64_t fingerprint);
 
 /* Fills in the rows that are due to be sent to other instances, at most
 ** PWQUAR_ROWS, and returns their number. A change is sent several times, since
 ** datagrams get lost. What is in quarantine is sent once a second, for
 ** instances that have just started. */
-size_t pwquar_tell(pw_quarantine *q, pw_quar_row *row, int64_t now);
+size_t pwquar_updates(pw_quarantine *q, pw_quar_row *row, int64_t now);
 
 /* Lists all requests that are in quarantine or were released recently, whether
 ** due or not, PWQUAR_ROWS a call; the next call continues. *at begins at 0.
@@ -74,7 +74,8 @@
                    int64_t now);
 
 /* Takes in a row from another instance. */
-pw_quar_news pwquar_hear(pw_quarantine *q, const pw_quar_row *row, int64_t now);
+pw_quar_change pwquar_receive(pw_quarantine *q, const pw_quar_row *row,
+                              int64_t now);
 
 /* Ends quarantines and drops old cases. A request whose quarantine is over may
 ** run again; one more crash begins the next quarantine. */
--- a/packages/policy/pwrollout.c
+++ b/packages/policy/pwrollout.c
@@ -45,8 +45,8 @@
   out[n] = 0;
 }
 
-double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *in) {
-  if (r->state == PW_ROLLOUT_BACK)
+double pwrollout_goal(const pw_rollout *r, const pw_rollout_input *in) {
+  if (r->state == PW_ROLLOUT_ROLLED_BACK)
     return 0;
   if (r->state == PW_ROLLOUT_DONE || r->step >= in->nsteps)
     return ALL;
@@ -54,7 +54,7 @@
 }
 
 /* Begins the rollout of the version that the operator names. */
-static void begin(const pw_rollout *r, const pw_rollout_ask *in,
+static void begin(const pw_rollout *r, const pw_rollout_input *in,
                   pw_rollout *out) {
   int taken_over = r->state == PW_ROLLOUT_DONE || r->share >= ALL;
   const char *stable = taken_over ? r->to : r->from;
@@ -72,13 +72,13 @@
 }
 
 /* The error rate of the old version in the same time is allowed in addition. */
-static int errs_too_often(const pw_rollout_ask *in) {
+static int errs_too_often(const pw_rollout_input *in) {
   double allowed =
       in->max_errors + failed_share(in->done_from, in->failed_from);
   return failed_share(in->done_to, in->failed_to) > allowed;
 }
 
-static int has_errors(const pw_rollout_ask *in) {
+static int has_errors(const pw_rollout_input *in) {
   return in->failed_to >= PWROLLOUT_ERRORS_LEAST && errs_too_often(in);
 }
 
@@ -86,22 +86,22 @@
 ** errors. An idle model continues after some time, except for its last step:
 ** that one waits for requests, so that it can still be rolled back when the
 ** first ones fail. */
-static int step_is_over(const pw_rollout_ask *in, double goal) {
+static int step_is_over(const pw_rollout_input *in, double goal) {
   if (in->in_step < in->step_ms || errs_too_often(in))
     return 0;
   if (in->done_to + in->failed_to >= in->min_requests)
     return 1;
-  return goal < ALL && in->in_step >= PWROLLOUT_PATIENCE * in->step_ms;
+  return goal < ALL && in->in_step >= PWROLLOUT_IDLE_FACTOR * in->step_ms;
 }
 
 static int roll_back(pw_rollout *out, pw_rollout_why why) {
-  out->state = PW_ROLLOUT_BACK;
+  out->state = PW_ROLLOUT_ROLLED_BACK;
   out->why = why;
   out->share = 0;
   return 1;
 }
 
-static int advance(const pw_rollout_ask *in, pw_rollout *out) {
+static int advance(const pw_rollout_input *in, pw_rollout *out) {
   double goal = pwrollout_goal(out, in);
   double share = in->ready < goal ? in->ready : goal;
   if (share > out->share) {
@@ -117,10 +117,10 @@
   return 1;
 }
 
-int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *in,
+int pwrollout_next(const pw_rollout *r, const pw_rollout_input *in,
                    pw_rollout *out) {
   *out = *r;
-  int again = r->state == PW_ROLLOUT_BACK && in->asked != r->asked;
+  int again = r->state == PW_ROLLOUT_ROLLED_BACK && in->asked != r->asked;
   if (strcmp(r->to, in->wanted) != 0 || again) {
     begin(r, in, out);
     return 1;
--- a/packages/policy/pwrollout.h
+++ b/packages/policy/pwrollout.h
@@ -18,14 +18,14 @@
 #define PWROLLOUT_STEP_MS 10000  /* default length of a step */
 #define PWROLLOUT_REQUESTS 20    /* default number of requests of a step */
 #define PWROLLOUT_ERRORS 0.02    /* default error rate allowed */
-#define PWROLLOUT_PATIENCE 6     /* factor on the length of an idle step */
+#define PWROLLOUT_IDLE_FACTOR 6  /* factor on the length of an idle step */
 #define PWROLLOUT_ERRORS_LEAST 5 /* fewer failures are no evidence */
 #define PWROLLOUT_LOADS_FAILED 3 /* targets with a failed load that end it */
 
 typedef enum pw_rollout_state {
   PW_ROLLOUT_DONE,
   PW_ROLLOUT_ROLLING,
-  PW_ROLLOUT_BACK /* rolled back: `from` serves all chats */
+  PW_ROLLOUT_ROLLED_BACK /* rolled back: `from` serves all chats */
 } pw_rollout_state;
 
 typedef enum pw_rollout_why {
@@ -46,7 +46,7 @@
 
 /* What the operator wants, and what was seen since the step's share came into
 ** force. */
-typedef struct pw_rollout_ask {
+typedef struct pw_rollout_input {
   const char *wanted; /* version that the model names */
   uint64_t asked;     /* version of the model's resource */
   int is_new;         /* the model was created with it: nothing served before */
@@ -60,14 +60,14 @@
   double done_to, failed_to, done_from, failed_from;
   int loads_failed; /* targets at which the load of `to` failed */
   int64_t in_step;  /* ms since the step's share came into force */
-} pw_rollout_ask;
+} pw_rollout_input;
 
 /* The share, in percent, at which the current step ends. */
-double pwrollout_goal(const pw_rollout *r, const pw_rollout_ask *in);
+double pwrollout_goal(const pw_rollout *r, const pw_rollout_input *in);
 
 /* Decides on the next state. Returns 1 and fills in *out if anything
 ** changes. */
-int pwrollout_next(const pw_rollout *r, const pw_rollout_ask *in,
+int pwrollout_next(const pw_rollout *r, const pw_rollout_input *in,
                    pw_rollout *out);
 
 /* Whether a chat (its hash) belongs to the share. Chats only ever join a
--- a/packages/policy/pwroute.c
+++ b/packages/policy/pwroute.c
@@ -32,13 +32,13 @@
 /* The same, without ejected targets. */
 static int open_target(const pw_route_pool *pool, const pw_route_walk *w,
                        uint64_t id, pw_route_target *out) {
-  return usable_target(pool, w, id, out) && !out->aside;
+  return usable_target(pool, w, id, out) && !out->ejected;
 }
 
 /* The same, but with those in their slow start after joining. */
 static int prefix_target(const pw_route_pool *pool, const pw_route_walk *w,
                          uint64_t id, pw_route_target *out) {
-  return usable_target(pool, w, id, out) && (!out->aside || out->joining);
+  return usable_target(pool, w, id, out) && (!out->ejected || out->joining);
 }
 
 static int fits(const pw_route_target *t, double cost) {
@@ -104,7 +104,7 @@
 ** requests 520 to 549 are answered if ejected targets are asked, and 593 to 598
 ** if they are not. */
 static int may_ask_ejected(const pw_route_target *t, const pw_route_walk *w) {
-  return !w->is_choosy && (!w->busy || t->joining);
+  return !w->avoid_ejected && (!w->busy || t->joining);
 }
 
 /* The first target from a random position on: one with room, or any open one,
@@ -116,7 +116,7 @@
     uint64_t id = pool->id[(draw + (uint64_t)i) % (uint64_t)pool->n];
     if (!usable_target(pool, w, id, &t))
       continue;
-    if (t.aside && (mode != SCAN_EJECTED || !may_ask_ejected(&t, w)))
+    if (t.ejected && (mode != SCAN_EJECTED || !may_ask_ejected(&t, w)))
       continue;
     if (mode != SCAN_FITS || fits(&t, w->cost))
       return id;
@@ -167,7 +167,7 @@
 pw_route_pick pwroute_next(const pw_route_pool *pool, pw_route_walk *w) {
   uint64_t home = pwplace_rank(pool->place, w->key, 0);
   pw_route_pick pick = {0};
-  if (w->queued || w->ntried >= PWROUTE_TRIED)
+  if (w->queued || w->ntried >= PWROUTE_TRIED_MAX)
     return pick;
   if (w->busy >= QUEUE_AFTER) {
     w->queued = 1;
@@ -199,17 +199,17 @@
                      uint32_t wait_ms, uint32_t worth_ms) {
   if (w->pointer == id)
     w->pointer = 0;
-  if (why == PW_REFUSED_MISSED)
+  if (why == PW_REFUSED_PREFIX_MISS)
     return;
   w->busy += why == PW_REFUSED_BUSY;
   w->sole_is_full |= w->is_sole && why == PW_REFUSED_BUSY;
-  if (was_tried(w, id) || w->ntried == PWROUTE_TRIED)
+  if (was_tried(w, id) || w->ntried == PWROUTE_TRIED_MAX)
     return;
   w->wait[w->ntried] = (int64_t)wait_ms - worth_ms;
   w->tried[w->ntried++] = id;
 }
 
-void pwroute_take_for_full(pw_route_walk *w) {
+void pwroute_assume_full(pw_route_walk *w) {
   w->busy = QUEUE_AFTER;
 }
 
--- a/packages/policy/pwroute.h
+++ b/packages/policy/pwroute.h
@@ -5,13 +5,13 @@
 #include "pwplace.h"
 
 /* Most targets that may refuse one request before it fails. */
-#define PWROUTE_TRIED 16
+#define PWROUTE_TRIED_MAX 16
 
 /* What the entry knows of one target. */
 typedef struct pw_route_target {
   uint64_t id;
   int usable; /* may take work */
-  int aside; /* ejected: breaker open, or unresponsive; used as a last resort */
+  int ejected; /* ejected: breaker open, or unresponsive; used as a last resort */
   int joining; /* ejected only for its slow start: it may still be asked for a
                   cached prefix */
   uint32_t availability_zone; /* as a number of the caller's choosing */
@@ -40,15 +40,16 @@
   uint64_t pointer; /* target said to have the prefix; 0: none */
   int asked_prefix; /* ranks that were asked with need_prefix */
   int prefix_done;  /* no target is asked for the prefix any more */
-  uint64_t tried[PWROUTE_TRIED];
-  int64_t wait[PWROUTE_TRIED]; /* estimated wait there in ms, less what a prefix
+  uint64_t tried[PWROUTE_TRIED_MAX];
+  int64_t
+      wait[PWROUTE_TRIED_MAX]; /* estimated wait there in ms, less what a prefix
                                   cached there is worth */
   int ntried;
-  int busy;         /* refusals for load */
-  int queued;       /* the pick that may queue has been made */
-  int is_sole;      /* the last pick was the only open target, and may queue */
-  int sole_is_full; /* that target had no room in its queue either */
-  int is_choosy;    /* there is another pool to try: ejected targets of this one
+  int busy;          /* refusals for load */
+  int queued;        /* the pick that may queue has been made */
+  int is_sole;       /* the last pick was the only open target, and may queue */
+  int sole_is_full;  /* that target had no room in its queue either */
+  int avoid_ejected; /* there is another pool to try: ejected targets of this one
                       are not used */
 } pw_route_walk;
 
@@ -70,8 +71,8 @@
 pw_route_pick pwroute_next(const pw_route_pool *pool, pw_route_walk *walk);
 
 typedef enum pw_refusal {
-  PW_REFUSED_MISSED, /* only because it does not have the prefix */
-  PW_REFUSED_BUSY,   /* for load */
+  PW_REFUSED_PREFIX_MISS, /* only because it does not have the prefix */
+  PW_REFUSED_BUSY,        /* for load */
   PW_REFUSED_OTHER
 } pw_refusal;
 
@@ -82,7 +83,7 @@
                      uint32_t wait_ms, uint32_t worth_ms);
 
 /* No budget is left for refusals: the next pick may queue the request. */
-void pwroute_take_for_full(pw_route_walk *walk);
+void pwroute_assume_full(pw_route_walk *walk);
 
 /* When a refused caller is to retry, in ms: after the wait that the target
 ** estimated, spread over as long again so that callers do not retry
--- a/packages/policy/pwtelling.h
+++ b/packages/policy/pwsequence.h
@@ -1,31 +1,32 @@
-/* pwtelling.h: gap detection over the sequenced updates of one sender.
+/* pwsequence.h: gap detection over the sequenced updates of one sender.
 **
 ** Pure. A message between two running instances can be lost with its
 ** connection, and its content is not sent again. So the sender numbers its
 ** updates and names the newest number in every message; a receiver that misses
 ** a number asks for the full state. */
-#ifndef PWTELLING_H
-#define PWTELLING_H
+#ifndef PWSEQUENCE_H
+#define PWSEQUENCE_H
 
 #include <stdint.h>
 
 /* What has arrived from one sender. All 0: nothing. */
-typedef struct pw_telling {
-  uint64_t life; /* incarnation of the sender; its numbers restart with it */
-  int is_whole;  /* nothing is missing up to `last` */
+typedef struct pw_sequence {
+  uint64_t
+      incarnation; /* incarnation of the sender; its numbers restart with it */
+  int is_complete; /* nothing is missing up to `last` */
   /* Otherwise the updates from `first` to `last` arrived without a gap; 0:
   ** none. */
   uint64_t first, last;
-} pw_telling;
+} pw_sequence;
 
 /* A message of this incarnation arrived. An update (has_news) has this
 ** sequence number, a message without one names the newest number. With `full`
 ** it contains the whole state up to that number. */
-void pwtelling_take(pw_telling *t, uint64_t life, uint64_t number, int has_news,
-                    int full);
+void pwsequence_receive(pw_sequence *t, uint64_t incarnation, uint64_t number,
+                        int has_news, int full);
 
 /* The sequence number up to which nothing is missing, for the incarnation last
 ** seen; 0: something may be missing. */
-uint64_t pwtelling_has(const pw_telling *t);
+uint64_t pwsequence_complete_to(const pw_sequence *t);
 
 #endif
--- a/packages/policy/pwshare.c
+++ b/packages/policy/pwshare.c
@@ -31,7 +31,7 @@
   return s->requests * exp(-(double)(now - s->at) / DECAY_MS);
 }
 
-void pwshare_asked(pw_share *s, int64_t now) {
+void pwshare_note(pw_share *s, int64_t now) {
   s->requests = decayed(s, now) + 1;
   s->at = now;
 }
@@ -40,8 +40,8 @@
   return decayed(s, now) / DECAY_MS * MS_PER_S;
 }
 
-double pwshare_places(double mine, double all, double slots, double used,
-                      double reserved) {
+double pwshare_slots(double mine, double all, double slots, double used,
+                     double reserved) {
   double share = all > mine ? mine / all : 1;
   double free_part = used < slots ? 1 - used / slots : 0;
   if (free_part > FREE_ENOUGH)
--- a/packages/policy/pwshare.h
+++ b/packages/policy/pwshare.h
@@ -19,7 +19,7 @@
 } pw_share;
 
 /* Counts a request. */
-void pwshare_asked(pw_share *s, int64_t now);
+void pwshare_note(pw_share *s, int64_t now);
 
 /* Recent requests a second. */
 double pwshare_rate(const pw_share *s, int64_t now);
@@ -29,7 +29,7 @@
 ** the requests a second at this gateway and at all of them, including this
 ** one. While slots are free it may exceed its share. `reserved` is the share of
 ** the slots reserved for more urgent requests (pwplaces). */
-double pwshare_places(double mine, double all, double slots, double used,
-                      double reserved);
+double pwshare_slots(double mine, double all, double slots, double used,
+                     double reserved);
 
 #endif
--- a/packages/policy/pwplaces.c
+++ b/packages/policy/pwshed.c
@@ -1,5 +1,5 @@
-/* pwplaces.c: load shedding by urgency class. */
-#include "pwplaces.h"
+/* pwshed.c: load shedding by urgency class. */
+#include "pwshed.h"
 
 #include <assert.h>
 #include <math.h>
@@ -33,27 +33,26 @@
 #define RETRY_PART 3
 #define RETRY_LEAST_MS 100
 
-void pwplaces_init(pw_places *p, int64_t now) {
-  *p = (pw_places){.at = now};
+void pwshed_init(pw_shed *p, int64_t now) {
+  *p = (pw_shed){.at = now};
 }
 
-static void decay(pw_places *p, int64_t now) {
+static void decay(pw_shed *p, int64_t now) {
   double left = exp(-(double)(now - p->at) / DECAY_MS);
   p->at = now;
   p->first_requests *= left;
   p->first_admitted *= left;
-  for (int i = 0; i < PWPLACES_SURPLUS; i++) {
+  for (int i = 0; i < PWSHED_SURPLUS; i++) {
     p->requests[i] *= left;
     p->admitted[i] *= left;
   }
 }
 
-void pwplaces_asked(pw_places *p, int urgency, int is_last, int got,
-                    int64_t now) {
-  assert(urgency >= 0 && urgency < PWPLACES_URGENCIES);
+void pwshed_note(pw_shed *p, int urgency, int is_last, int got, int64_t now) {
+  assert(urgency >= 0 && urgency < PWSHED_URGENCIES);
   decay(p, now);
-  p->requests[urgency % PWPLACES_SURPLUS]++;
-  p->admitted[urgency % PWPLACES_SURPLUS] += got != 0;
+  p->requests[urgency % PWSHED_SURPLUS]++;
+  p->admitted[urgency % PWSHED_SURPLUS] += got != 0;
   if (is_last)
     return;
   p->first_requests++;
@@ -63,14 +62,14 @@
   *r = *r < 0 ? 0 : *r > RESERVE_MOST ? RESERVE_MOST : *r;
 }
 
-int pwplaces_may_return(const pw_places *p, double draw) {
+int pwshed_may_retry(const pw_shed *p, double draw) {
   double missed = p->first_requests - p->first_admitted;
   return missed <= draw * FIRST_MISSED_MAX * p->first_requests;
 }
 
-double pwplaces_share(const pw_places *p) {
+double pwshed_admitted_share(const pw_shed *p) {
   double requests = 0, admitted = 0;
-  for (int i = 0; i < PWPLACES_SURPLUS; i++) {
+  for (int i = 0; i < PWSHED_SURPLUS; i++) {
     requests += p->requests[i];
     admitted += p->admitted[i];
   }
@@ -78,12 +77,13 @@
 }
 
 /* Whether the admitted share of the class is far below the overall share. */
-static int is_starved(const pw_places *p, int urgency) {
-  int i = urgency % PWPLACES_SURPLUS;
-  return p->admitted[i] < LEAST_PART * pwplaces_share(p) * p->requests[i];
+static int is_starved(const pw_shed *p, int urgency) {
+  int i = urgency % PWSHED_SURPLUS;
+  return p->admitted[i] <
+         LEAST_PART * pwshed_admitted_share(p) * p->requests[i];
 }
 
-double pwplaces_reserve(const pw_places *p, int urgency, int is_last) {
+double pwshed_reserve(const pw_shed *p, int urgency, int is_last) {
   double sum = 0;
   if (!is_last && is_starved(p, urgency))
     return 0;
@@ -92,7 +92,7 @@
   return sum;
 }
 
-int64_t pwplaces_retry(int64_t time_left_ms, int64_t least_ms, double draw) {
+int64_t pwshed_retry_ms(int64_t time_left_ms, int64_t least_ms, double draw) {
   double most = (double)time_left_ms / RETRY_PART;
   double least = least_ms > RETRY_LEAST_MS ? (double)least_ms : RETRY_LEAST_MS;
   if (least > most)
--- a/packages/policy/pwsurge.c
+++ b/packages/policy/pwspike.c
@@ -1,5 +1,5 @@
-/* pwsurge.c: detects load spikes of single workspaces. */
-#include "pwsurge.h"
+/* pwspike.c: detects load spikes of single workspaces. */
+#include "pwspike.h"
 
 #include "pwbuf.h"
 #include "pwlimits.h"
@@ -32,18 +32,18 @@
   UT_hash_handle hh;
 } row;
 
-struct pw_surge {
+struct pw_spike {
   row *rows;
   counts all;
 };
 
-pw_surge *pwsurge_new(int64_t now) {
-  pw_surge *s = pw_alloc(sizeof *s);
+pw_spike *pwspike_new(int64_t now) {
+  pw_spike *s = pw_alloc(sizeof *s);
   s->all.at = now;
   return s;
 }
 
-void pwsurge_free(pw_surge *s) {
+void pwspike_free(pw_spike *s) {
   row *r, *tmp;
   if (!s)
     return;
@@ -61,7 +61,7 @@
   c->at = now;
 }
 
-static row *row_of(pw_surge *s, const char *workspace, int64_t now) {
+static row *row_of(pw_spike *s, const char *workspace, int64_t now) {
   row *r;
   HASH_FIND_STR(s->rows, workspace, r);
   if (r || HASH_COUNT(s->rows) >= WORKSPACES_MAX)
@@ -86,7 +86,7 @@
 
 /* The surplus is left out of the baseline: in a process that has just started,
 ** a spike of seconds would soon make up most of it. */
-double pwsurge_note(pw_surge *s, const char *workspace, int64_t now) {
+double pwspike_note(pw_spike *s, const char *workspace, int64_t now) {
   row *r = row_of(s, workspace, now);
   if (!r)
     return 0;
--- a/packages/policy/pwspread.h
+++ b/packages/policy/pwspread.h
@@ -17,48 +17,48 @@
 ** source is taken to be busy with one receiver for at most this time, ms. 35
 ** KB take 30 ms on a gateway's link of 10 Mbit/s; a connection to a process
 ** that is gone never ends. */
-#define PW_SPREAD_SERVE_MS 400
+#define PW_SPREAD_TIMEOUT_MS 400
 
 /* Documents up to this size are not referred to another source: a connection to
 ** it costs as much, bytes. */
 #define PW_SPREAD_SMALL 2048
 
 /* A receiver of the document, which can be a source once it has it. */
-typedef struct pw_spread_place {
+typedef struct pw_spread_peer {
   uint64_t id;          /* not 0, and unique */
   uint64_t holds;       /* version that it has */
-  int can_hand;         /* it serves documents to others */
+  int can_serve;        /* it serves documents to others */
   int64_t requested_at; /* it waits for a newer version since then, ms; 0: no */
   int64_t served_at;    /* it was last sent or referred then, ms; 0: not yet */
   uint64_t source;      /* the source that it was referred to; 0: none */
   int64_t busy_until;   /* as a source it is taken to be busy until then, ms */
   int failed;           /* times that it was served and nothing arrived */
-} pw_spread_place;
+} pw_spread_peer;
 
 /* It asks for a version newer than the one it has. */
-void pwspread_want(pw_spread_place *p, int64_t now);
+void pwspread_request(pw_spread_peer *p, int64_t now);
 
 /* It has `version` now; `newest` is the newest there is. The source that served
 ** it, if any, is looked up in all[n] and marked free. */
-void pwspread_holds(pw_spread_place *p, uint64_t version, uint64_t newest,
-                    pw_spread_place *const *all, size_t n);
+void pwspread_received(pw_spread_peer *p, uint64_t version, uint64_t newest,
+                       pw_spread_peer *const *all, size_t n);
 
 /* The receiver to serve next: the one that waits longest. Of those that got
 ** nothing and asked again, one at a time is served, until it has the document
-** or PW_SPREAD_SERVE_MS are over: n receivers get n copies and one more each
+** or PW_SPREAD_TIMEOUT_MS are over: n receivers get n copies and one more each
 ** 400 ms, however slow answers are. NULL: none waits. */
-pw_spread_place *pwspread_first(pw_spread_place *const *all, size_t n,
-                                int64_t now);
+pw_spread_peer *pwspread_next(pw_spread_peer *const *all, size_t n,
+                              int64_t now);
 
 /* The source for a receiver: a peer that has `newest`. NULL with *own set: the
 ** sender itself; NULL without: none is free now. `has_room`: the sender's link
 ** has room; `bytes`: size of the document as sent to this receiver. */
-pw_spread_place *pwspread_giver(const pw_spread_place *to,
-                                pw_spread_place *const *all, size_t n,
+pw_spread_peer *pwspread_source(const pw_spread_peer *to,
+                                pw_spread_peer *const *all, size_t n,
                                 uint64_t newest, size_t bytes, int has_room,
                                 int64_t now, int *own);
 
 /* The receiver is served: by that source, or by the sender itself (NULL). */
-void pwspread_serve(pw_spread_place *to, pw_spread_place *source, int64_t now);
+void pwspread_serve(pw_spread_peer *to, pw_spread_peer *source, int64_t now);
 
 #endif
--- a/packages/policy/pwusual.c
+++ b/packages/policy/pwtimeouts.c
@@ -1,5 +1,5 @@
-/* pwusual.c: the baseline timeout of a route's callers. */
-#include "pwusual.h"
+/* pwtimeouts.c: the baseline timeout of a route's callers. */
+#include "pwtimeouts.h"
 
 #include <math.h>
 
@@ -21,20 +21,20 @@
 /* The counts are halved at this total, so that old timeouts lose weight. */
 #define TOTAL_MOST 512
 
-static void halve(pw_usual_times *u) {
+static void halve(pw_timeouts_counts *u) {
   u->total /= 2;
-  for (int i = 0; i < PWUSUAL_TIMES; i++)
+  for (int i = 0; i < PWTIMEOUTS_COUNTERS; i++)
     u->count[i] /= 2;
 }
 
 /* Frequent items of a stream with few counters (Misra and Gries, 1982): a
 ** timeout without a counter decrements all others. */
-static void count(pw_usual_times *u, int time) {
+static void count(pw_timeouts_counts *u, int time) {
   int unused = -1;
   if (u->total >= TOTAL_MOST)
     halve(u);
   u->total++;
-  for (int i = 0; i < PWUSUAL_TIMES; i++) {
+  for (int i = 0; i < PWTIMEOUTS_COUNTERS; i++) {
     if (u->count[i] && u->time[i] == time) {
       u->count[i]++;
       return;
@@ -47,11 +47,11 @@
     u->count[unused] = 1;
     return;
   }
-  for (int i = 0; i < PWUSUAL_TIMES; i++)
+  for (int i = 0; i < PWTIMEOUTS_COUNTERS; i++)
     u->count[i]--;
 }
 
-void pwusual_note(pw_usual *u, int64_t ms, int is_unloaded) {
+void pwtimeouts_note(pw_timeouts *u, int64_t ms, int is_unloaded) {
   if (ms < 1)
     return;
   int time = (int)floor(log((double)ms) / log(RATIO));
@@ -66,9 +66,9 @@
 
 /* How many requests have that timeout or a longer one; with sign -1, or a
 ** shorter one. */
-static int count_beyond(const pw_usual_times *u, int time, int sign) {
+static int count_beyond(const pw_timeouts_counts *u, int time, int sign) {
   int sum = 0;
-  for (int i = 0; i < PWUSUAL_TIMES; i++)
+  for (int i = 0; i < PWTIMEOUTS_COUNTERS; i++)
     if (u->count[i] && sign * u->time[i] >= sign * time)
       sum += u->count[i];
   return sum;
@@ -76,21 +76,21 @@
 
 /* The longest timeout, with sign -1 the shortest, that one request in `part`
 ** reaches; 0: none. */
-static int64_t edge(const pw_usual_times *u, int part, int sign) {
+static int64_t edge(const pw_timeouts_counts *u, int part, int sign) {
   int best = -1;
-  for (int i = 0; i < PWUSUAL_TIMES; i++)
+  for (int i = 0; i < PWTIMEOUTS_COUNTERS; i++)
     if (u->count[i] && count_beyond(u, u->time[i], sign) * part >= u->total &&
         (best < 0 || sign * u->time[i] > sign * u->time[best]))
       best = i;
   return best < 0 ? 0 : ms_of(u->time[best]);
 }
 
-int64_t pwusual_ms(const pw_usual *u) {
+int64_t pwtimeouts_baseline(const pw_timeouts *u) {
   return edge(&u->all, BASELINE_PART, 1);
 }
 
-int64_t pwusual_shortest(const pw_usual *u) {
-  int64_t baseline = pwusual_ms(u);
+int64_t pwtimeouts_shortest(const pw_timeouts *u) {
+  int64_t baseline = pwtimeouts_baseline(u);
   int64_t shortest = edge(&u->unloaded, SHORTEST_PART, -1);
   int is_known = u->unloaded.total >= UNLOADED_LEAST && shortest < baseline;
   return is_known ? shortest : baseline;
--- a/packages/policy/pwusual.h
+++ b/packages/policy/pwtimeouts.h
@@ -1,4 +1,4 @@
-/* pwusual.h: the baseline timeout of a route's callers, learned from the
+/* pwtimeouts.h: the baseline timeout of a route's callers, learned from the
 ** timeouts of their requests. A much shorter timeout marks a retry: the
 ** caller's time goal has passed.
 **
@@ -8,34 +8,34 @@
 ** hardly any caller has to retry. If all requests below the longest timeout
 ** were taken for retries, callers with short timeouts would get no slot until
 ** all others had one. */
-#ifndef PWUSUAL_H
-#define PWUSUAL_H
+#ifndef PWTIMEOUTS_H
+#define PWTIMEOUTS_H
 
 #include <stdint.h>
 
-#define PWUSUAL_TIMES 16 /* different timeouts that are counted */
+#define PWTIMEOUTS_COUNTERS 16 /* different timeouts that are counted */
 
 /* Timeouts and their frequency. */
-typedef struct pw_usual_times {
-  int time[PWUSUAL_TIMES]; /* logarithmic */
-  int count[PWUSUAL_TIMES];
+typedef struct pw_timeouts_counts {
+  int time[PWTIMEOUTS_COUNTERS]; /* logarithmic */
+  int count[PWTIMEOUTS_COUNTERS];
   int total;
-} pw_usual_times;
+} pw_timeouts_counts;
 
-typedef struct pw_usual {
-  pw_usual_times all;
-  pw_usual_times unloaded; /* seen while hardly any caller was refused */
-} pw_usual;
+typedef struct pw_timeouts {
+  pw_timeouts_counts all;
+  pw_timeouts_counts unloaded; /* seen while hardly any caller was refused */
+} pw_timeouts;
 
 /* Counts a request with a timeout of `ms`; `is_unloaded`: hardly any caller was
 ** refused recently. */
-void pwusual_note(pw_usual *u, int64_t ms, int is_unloaded);
+void pwtimeouts_note(pw_timeouts *u, int64_t ms, int is_unloaded);
 
 /* The baseline timeout in ms, at most a few percent too low; 0: unknown. */
-int64_t pwusual_ms(const pw_usual *u);
+int64_t pwtimeouts_baseline(const pw_timeouts *u);
 
 /* The shortest common timeout of first attempts in ms, at most a few percent
 ** too low; the baseline while no other is known. */
-int64_t pwusual_shortest(const pw_usual *u);
+int64_t pwtimeouts_shortest(const pw_timeouts *u);
 
 #endif
