--- a/packages/policy/pwsight.c
+++ b/packages/policy/pwtopology.c
@@ -1,5 +1,5 @@
-/* pwsight.c: the groups in which many gateways exchange their loads. */
-#include "pwsight.h"
+/* pwtopology.c: the groups in which many gateways exchange their loads. */
+#include "pwtopology.h"
 
 /* An aggregator that has not answered for SILENT_MS is skipped for AGAIN_MS,
 ** in ms. Answers come ten times a second; until a dead aggregator is skipped,
@@ -13,24 +13,24 @@
 #define GROUPS_FIRST 4
 #define GROUPS_STEP 2
 
-uint32_t pwsight_groups(int n) {
+uint32_t pwtopology_groups(int n) {
   uint32_t groups = GROUPS_FIRST;
-  if (n <= PWSIGHT_DIRECT)
+  if (n <= PWTOPOLOGY_DIRECT_MAX)
     return 1;
   while (groups * groups * GROUPS_STEP < (uint32_t)n)
     groups *= GROUPS_STEP;
   return groups;
 }
 
-uint32_t pwsight_group(uint64_t hash, uint32_t groups) {
+uint32_t pwtopology_group(uint64_t hash, uint32_t groups) {
   return (uint32_t)(hash % groups);
 }
 
-int pwsight_first(const pw_sight_peer *p, int n, uint32_t groups,
-                  uint32_t group, int64_t now) {
+int pwtopology_aggregator(const pw_topology_peer *p, int n, uint32_t groups,
+                          uint32_t group, int64_t now) {
   int best = -1, best_answers = 0;
   for (int i = 0; i < n; i++) {
-    if (pwsight_group(p[i].hash, groups) != group)
+    if (pwtopology_group(p[i].hash, groups) != group)
       continue;
     int answers = p[i].is_self || p[i].skip_until <= now;
     if (best >= 0 && (answers < best_answers ||
@@ -42,7 +42,7 @@
   return best;
 }
 
-void pwsight_asked(pw_sight_peer *p, int64_t now) {
+void pwtopology_sent(pw_topology_peer *p, int64_t now) {
   if (!p->awaiting_since) {
     p->awaiting_since = now;
   } else if (now - p->awaiting_since > SILENT_MS) {
@@ -51,7 +51,7 @@
   }
 }
 
-void pwsight_heard(pw_sight_peer *p) {
+void pwtopology_answered(pw_topology_peer *p) {
   p->awaiting_since = 0;
   p->skip_until = 0;
 }
--- a/packages/policy/pwdark.h
+++ b/packages/policy/pwunresponsive.h
@@ -1,34 +1,35 @@
-/* pwdark.h: requests whose target became unresponsive, until it is known
+/* pwunresponsive.h: requests whose target became unresponsive, until it is known
 ** whether the target crashed.
 **
 ** Pure: time comes in as an argument. A request that takes long looks like one
 ** that hangs its target: in both cases nothing arrives. This alone is not
 ** counted as a crash; it is once control has missed the target's heartbeats as
 ** well. */
-#ifndef PWDARK_H
-#define PWDARK_H
+#ifndef PWUNRESPONSIVE_H
+#define PWUNRESPONSIVE_H
 
 #include <stdint.h>
 
-#define PWDARK_MAX 256 /* requests kept; another one replaces the oldest */
+#define PWUNRESPONSIVE_MAX                                                     \
+  256 /* requests kept; another one replaces the oldest */
 
-typedef struct pw_dark_request {
+typedef struct pw_unresponsive_request {
   uint64_t fingerprint; /* of the request (pwsign) */
   uint64_t target;      /* incarnation of its target */
   int64_t at;           /* when the target became unresponsive, ms; 0: unused */
-} pw_dark_request;
+} pw_unresponsive_request;
 
-typedef struct pw_dark {
-  pw_dark_request list[PWDARK_MAX];
+typedef struct pw_unresponsive {
+  pw_unresponsive_request list[PWUNRESPONSIVE_MAX];
   int next;
-} pw_dark;
+} pw_unresponsive;
 
 /* Notes a request that is at a target which became unresponsive. */
-void pwdark_note(pw_dark *d, uint64_t fingerprint, uint64_t target,
-                 int64_t now);
+void pwunresponsive_note(pw_unresponsive *d, uint64_t fingerprint,
+                         uint64_t target, int64_t now);
 
 /* For a target that missed its heartbeats or crashed: removes one of the recent
 ** requests noted for it and returns its fingerprint; 0: none is left. */
-uint64_t pwdark_take(pw_dark *d, uint64_t target, int64_t now);
+uint64_t pwunresponsive_take(pw_unresponsive *d, uint64_t target, int64_t now);
 
 #endif
--- a/packages/site/pwdialect.h
+++ b/packages/site/pwdialect.h
@@ -14,16 +14,16 @@
 #include <stdint.h>
 
 /* Parts of a prompt that are read; further ones are ignored. */
-#define PWASK_PARTS 32
+#define PW_PROMPT_PARTS 32
 
 /* One part of a prompt, as the caller names it. */
-typedef struct pw_ask_part {
+typedef struct pw_prompt_part {
   uint64_t id;
   uint32_t tokens;
-} pw_ask_part;
+} pw_prompt_part;
 
 /* What the headers of a caller's request say. Spans point into the request's head. */
-typedef struct pw_ask {
+typedef struct pw_request_info {
   pw_span id;
   pw_span host;
   pw_span key;
@@ -32,9 +32,9 @@
   uint32_t prompt_tokens;
   uint32_t output_tokens; /* most tokens it may generate */
   uint32_t output_guess;  /* tokens that the caller expects; 0: not given */
-  pw_ask_part part[PWASK_PARTS];
+  pw_prompt_part part[PW_PROMPT_PARTS];
   int nparts;
-} pw_ask;
+} pw_request_info;
 
 /* What a gateway adds to a request that it forwards. */
 typedef struct pw_forward {
@@ -48,24 +48,24 @@
 } pw_forward;
 
 /* What the headers of a target's answer say. */
-typedef struct pw_told {
-  int is_mine;         /* it carries the id of the request */
+typedef struct pw_answer_info {
+  int id_matches;      /* it carries the id of the request */
   int not_run;         /* the request has not run there and will not */
-  int is_whole;        /* it carries the target's signature */
+  int is_signed;       /* it carries the target's signature */
   int is_leaving;      /* the target is leaving */
   int64_t hold_off_ms; /* the target asks this instance for no requests for so
                        ** long; 0: not given */
   int has_load;
   int running, waiting, slots;
-} pw_told;
+} pw_answer_info;
 
 /* Start time in a heartbeat that an instance of an older version forwarded, which does not know the
 ** field: it stands for the incarnation that is already known. */
-#define PW_BORN_UNTOLD UINT64_MAX
+#define PW_BORN_UNKNOWN UINT64_MAX
 
 /* A target's heartbeat. Id and start time name one incarnation of the target: after a restart under
 ** the same id it has lost its requests and its cache. */
-typedef struct pw_beat {
+typedef struct pw_heartbeat {
   char id[PW_NAME_MAX];
   uint64_t born; /* start time, Unix ms; 0: not given, which counts as older
                  ** than any given time */
@@ -77,14 +77,14 @@
   int leaving;
   int64_t cold_ms; /* time left in which it is slow after its start */
   uint64_t seq;    /* rises with each heartbeat of one incarnation */
-} pw_beat;
+} pw_heartbeat;
 
 /* Calls to a control instance. */
 typedef enum pw_call_kind {
   PWCALL_OTHER,
   PWCALL_SITE_READ,
   PWCALL_SITE_WRITE,
-  PWCALL_BEAT,
+  PWCALL_HEARTBEAT,
   PWCALL_LEAVE,        /* a target deregisters */
   PWCALL_EVACUATE,     /* evacuate an availability zone */
   PWCALL_EVACUATE_END, /* end the evacuation of an availability zone */
@@ -108,18 +108,19 @@
 } pw_rollout_stage;
 
 /* A configuration document that is being parsed in steps. */
-typedef struct pw_reading pw_reading;
+typedef struct pw_site_reader pw_site_reader;
 
 typedef struct pw_dialect {
-  void (*read_request)(const pw_h1 *m, pw_ask *out);
+  void (*read_request)(const pw_h1 *m, pw_request_info *out);
 
   /* Whether a caller's header is forwarded unchanged to the target. */
-  int (*passes)(const pw_h1_header *h);
+  int (*forwards_header)(const pw_h1_header *h);
 
   /* Appends the header lines of *f. */
   void (*write_forward)(pw_buf *out, const pw_forward *f);
 
-  void (*read_answer)(const pw_h1 *m, const pw_ask *ask, pw_told *out);
+  void (*read_answer)(const pw_h1 *m, const pw_request_info *ask,
+                      pw_answer_info *out);
 
   /* Kind of a call; id[PW_NAME_MAX] receives the target or availability zone that it names. */
   pw_call_kind (*read_call)(const char *method, const char *path, char *id);
@@ -131,23 +132,24 @@
   /* The same in steps, so that the event loop can serve requests in between. Routes unchanged
   ** since `before` (or NULL) are copied from it and not parsed again; it must stay valid. `text` is
   ** copied. */
-  pw_reading *(*begin_site)(const char *text, size_t n, const pw_site *before);
+  pw_site_reader *(*begin_site)(const char *text, size_t n,
+                                const pw_site *before);
 
   /* Parses at most `routes` more routes. PW_OK with *out NULL: there is more to do. */
-  pw_code (*step_site)(pw_reading *r, int routes, pw_site **out, char *why,
+  pw_code (*step_site)(pw_site_reader *r, int routes, pw_site **out, char *why,
                        size_t cap);
-  void (*end_site)(pw_reading *r);
+  void (*end_site)(pw_site_reader *r);
 
   /* Parses a heartbeat. Errors, with a reason in `why`: PW_E_BODY, it is not JSON; PW_E_SCHEMA, a
   ** required field is missing, or a field has the wrong type or is out of range. */
-  pw_code (*read_beat)(const char *id, const char *text, size_t n, pw_beat *out,
-                       char *why, size_t cap);
+  pw_code (*read_heartbeat)(const char *id, const char *text, size_t n,
+                            pw_heartbeat *out, char *why, size_t cap);
 
   /* The same for the body of a target's deregistration, which may be empty. */
   pw_code (*read_leave)(const char *id, const char *text, size_t n,
-                        pw_beat *out, char *why, size_t cap);
+                        pw_heartbeat *out, char *why, size_t cap);
 
-  /* Parses a rollout order; errors as with read_beat. */
+  /* Parses a rollout order; errors as with read_heartbeat. */
   pw_code (*read_rollout)(const char *text, size_t n, pw_rollout_order *out,
                           char *why, size_t cap);
   void (*write_rollout)(pw_buf *out, const char *version,
--- a/packages/site/pwsite.c
+++ b/packages/site/pwsite.c
@@ -51,7 +51,7 @@
   }
   for (int i = 0; i < p->nroutes; i++) {
     free(p->route[i].name);
-    free(p->route[i].place);
+    free(p->route[i].host_path);
   }
   for (int i = 0; i < p->nworkspaces; i++)
     free(p->workspace[i].name);
@@ -68,10 +68,10 @@
 /* --- validation --- */
 
 static const char *check_route(const pw_site_parts *p, const pw_site_route *r) {
-  const char *slash = strchr(r->place, '/');
-  if (!slash || slash == r->place)
+  const char *slash = strchr(r->host_path, '/');
+  if (!slash || slash == r->host_path)
     return "a host and a path prefix are required";
-  if (r->place[strlen(r->place) - 1] != '/')
+  if (r->host_path[strlen(r->host_path) - 1] != '/')
     return "the path prefix must end with a slash";
   if (r->timeout_ms <= 0)
     return "the timeout must be above 0";
@@ -104,7 +104,7 @@
     if (reason)
       return refuse(why, cap, "route", r->name, reason);
     row *old, *one = &s->route_rows[i];
-    *one = (row){.text = r->place, .index = i};
+    *one = (row){.text = r->host_path, .index = i};
     HASH_FIND_STR(s->routes_by_host_path, one->text, old);
     if (old)
       return refuse(why, cap, "route", r->name,
@@ -205,12 +205,12 @@
   return PW_OK;
 }
 
-pw_site *pwsite_hold(pw_site *s) {
+pw_site *pwsite_retain(pw_site *s) {
   s->refs++;
   return s;
 }
 
-void pwsite_drop(pw_site *s) {
+void pwsite_release(pw_site *s) {
   if (s && --s->refs == 0)
     free_site(s);
 }
@@ -230,7 +230,7 @@
     return 0;
   *out = s->p.route[found->index];
   out->name = pw_dup(out->name);
-  out->place = pw_dup(out->place);
+  out->host_path = pw_dup(out->host_path);
   return 1;
 }
 
@@ -239,7 +239,7 @@
          s->p.services_source.low == source.low;
 }
 
-int pwsite_routes_a_step(size_t bytes, int is_first) {
+int pwsite_routes_per_step(size_t bytes, int is_first) {
   size_t routes = bytes / ROUTE_BYTES / STEPS_MAX;
   if (is_first || routes > INT_MAX)
     return INT_MAX;
--- a/packages/site/pwsite.h
+++ b/packages/site/pwsite.h
@@ -24,10 +24,10 @@
   int max_conns; /* connections a target accepts, from all gateways together */
   int is_engine; /* a model engine; the fields below apply */
   int slots;     /* requests that a target runs at once */
-  int64_t kv_tokens;  /* capacity of a target's KV cache, tokens */
-  int64_t pin_ms;     /* longest pin of a prompt in the cache; 0: no pins */
-  int moves_kv;       /* a target can import a prompt's KV cache from another */
-  int events_a_piece; /* tokens in one event of a stream */
+  int64_t kv_tokens; /* capacity of a target's KV cache, tokens */
+  int64_t pin_ms;    /* longest pin of a prompt in the cache; 0: no pins */
+  int moves_kv;      /* a target can import a prompt's KV cache from another */
+  int tokens_per_event; /* tokens in one event of a stream */
 } pw_site_service;
 
 typedef struct pw_site_weighted {
@@ -45,7 +45,7 @@
 typedef struct pw_site_route {
   pw_site_source source;
   char *name;
-  char *place; /* host and path prefix, concatenated */
+  char *host_path; /* host and path prefix, concatenated */
   pw_site_kind kind;
   int is_stream;
   int is_resumable;
@@ -94,8 +94,8 @@
 /* Makes a configuration of the parts, which it owns from then on, also on failure. PW_E_SCHEMA with
 ** a reason in `why` when they are inconsistent. */
 pw_code pwsite_new(pw_site_parts *parts, pw_site **out, char *why, size_t cap);
-pw_site *pwsite_hold(pw_site *s);
-void pwsite_drop(pw_site *s);
+pw_site *pwsite_retain(pw_site *s);
+void pwsite_release(pw_site *s);
 
 /* Frees parts that were not passed to pwsite_new. */
 void pwsite_free_parts(pw_site_parts *parts);
@@ -111,7 +111,7 @@
 /* How many routes of a document of so many bytes to parse in one step: few, so that streams are not
 ** delayed, but enough to bound the number of steps. The first document of a process is parsed in
 ** one step, because requests wait for it. */
-int pwsite_routes_a_step(size_t bytes, int is_first);
+int pwsite_routes_per_step(size_t bytes, int is_first);
 
 /* Whether the services were parsed from the text of this hash. */
 int pwsite_has_services(const pw_site *s, pw_site_source source);
--- a/packages/store/pwdedup.c
+++ b/packages/store/pwdedup.c
@@ -22,7 +22,7 @@
 };
 
 typedef struct packed {
-  uint8_t key[PWDEDUP_KEY];
+  uint8_t key[PWDEDUP_KEY_BYTES];
   uint32_t at;   /* little-endian, as in a snapshot */
   uint32_t body; /* little-endian; the top bit is ANSWERED */
 } packed;
@@ -75,7 +75,7 @@
 static uint32_t find_slot(const pw_dedup *d, const uint8_t *key) {
   uint32_t i = first_slot(d, key);
   while (d->index[i] &&
-         memcmp(d->ring[d->index[i] - 1].key, key, PWDEDUP_KEY) != 0)
+         memcmp(d->ring[d->index[i] - 1].key, key, PWDEDUP_KEY_BYTES) != 0)
     i = next_slot(d, i);
   return i;
 }
@@ -108,7 +108,7 @@
   append(d, &p);
 }
 
-int pwdedup_find(const pw_dedup *d, const uint8_t key[PWDEDUP_KEY],
+int pwdedup_find(const pw_dedup *d, const uint8_t key[PWDEDUP_KEY_BYTES],
                  pw_dedup_entry *out) {
   uint32_t at = d->index[find_slot(d, key)];
   if (!at)
@@ -151,24 +151,24 @@
 }
 
 uint8_t *pwdedup_pack(const pw_dedup *d, size_t *len) {
-  _Static_assert(sizeof(packed) == PWDEDUP_BYTES, "no padding");
-  *len = (size_t)d->count * PWDEDUP_BYTES;
+  _Static_assert(sizeof(packed) == PWDEDUP_ENTRY_BYTES, "no padding");
+  *len = (size_t)d->count * PWDEDUP_ENTRY_BYTES;
   uint8_t *out = pw_alloc(*len + 1);
   for (uint32_t i = 0; i < d->count; i++)
-    memcpy(out + (size_t)i * PWDEDUP_BYTES,
-           &d->ring[(d->first + i) & (d->cap - 1)], PWDEDUP_BYTES);
+    memcpy(out + (size_t)i * PWDEDUP_ENTRY_BYTES,
+           &d->ring[(d->first + i) & (d->cap - 1)], PWDEDUP_ENTRY_BYTES);
   return out;
 }
 
 int pwdedup_load(pw_dedup *d, const uint8_t *bytes, size_t len) {
-  if (len % PWDEDUP_BYTES != 0)
+  if (len % PWDEDUP_ENTRY_BYTES != 0)
     return -1;
   free(d->ring);
   free(d->index);
   d->first = 0;
   d->count = 0;
   alloc_tables(d, INITIAL_CAP);
-  for (size_t i = 0; i < len; i += PWDEDUP_BYTES) {
+  for (size_t i = 0; i < len; i += PWDEDUP_ENTRY_BYTES) {
     packed p;
     memcpy(&p, bytes + i, sizeof p);
     if (pwdedup_find(d, p.key, NULL))
--- a/packages/store/pwdoc.c
+++ b/packages/store/pwdoc.c
@@ -164,7 +164,7 @@
   return NULL;
 }
 
-pw_code pwdoc_take(pw_doc *d, const Pw__Document *in) {
+pw_code pwdoc_apply(pw_doc *d, const Pw__Document *in) {
   if (in->version <= d->v[0].version)
     return PW_OK;
   const doc_version *base = find(d, in->since);
--- a/packages/store/pwdoc.h
+++ b/packages/store/pwdoc.h
@@ -36,7 +36,7 @@
 /* Applies a packed document. PW_OK: this version is the newest now, or one as
 ** new was there already; PW_E_STALE: its base version is not retained here;
 ** PW_E_CORRUPT: it cannot be unpacked. */
-pw_code pwdoc_take(pw_doc *d, const Pw__Document *in);
+pw_code pwdoc_apply(pw_doc *d, const Pw__Document *in);
 
 /* Removes all versions. */
 void pwdoc_clear(pw_doc *d);
--- a/packages/store/pwonce.c
+++ b/packages/store/pwonce.c
@@ -26,7 +26,7 @@
 ** insertion: open claims are in order of claiming, answered ones in order of
 ** their answers, so the oldest is the first. */
 typedef struct claim {
-  uint8_t id[PWDEDUP_KEY]; /* hash of workspace and key */
+  uint8_t id[PWDEDUP_KEY_BYTES]; /* hash of workspace and key */
   Pw__KeptClaim *kept;
   UT_hash_handle hh;
 } claim;
@@ -44,7 +44,7 @@
   return o;
 }
 
-void pwonce_hold(pw_once *o, uint64_t until) {
+void pwonce_refuse_until(pw_once *o, uint64_t until) {
   o->refuse_until = until;
 }
 
@@ -87,13 +87,13 @@
 /* Hashes workspace and key, each with its terminating zero, so that no two pairs
 ** give the same bytes. */
 static void hash_id(const char *workspace, const char *key,
-                    uint8_t id[PWDEDUP_KEY]) {
+                    uint8_t id[PWDEDUP_KEY_BYTES]) {
   crypto_generichash_state st;
-  crypto_generichash_init(&st, NULL, 0, PWDEDUP_KEY);
+  crypto_generichash_init(&st, NULL, 0, PWDEDUP_KEY_BYTES);
   crypto_generichash_update(&st, (const uint8_t *)workspace,
                             strlen(workspace) + 1);
   crypto_generichash_update(&st, (const uint8_t *)key, strlen(key) + 1);
-  crypto_generichash_final(&st, id, PWDEDUP_KEY);
+  crypto_generichash_final(&st, id, PWDEDUP_KEY_BYTES);
 }
 
 /* Part of the digest, which is a hash already; enough to tell bodies apart. */
@@ -106,7 +106,7 @@
 
 static claim *find_in(claim *table, const uint8_t *id) {
   claim *c;
-  HASH_FIND(hh, table, id, PWDEDUP_KEY, c);
+  HASH_FIND(hh, table, id, PWDEDUP_KEY_BYTES, c);
   return c;
 }
 
@@ -189,7 +189,7 @@
 }
 
 Pw__Claimed *pwonce_claim(pw_once *o, uint64_t wall, const Pw__Claim *in) {
-  uint8_t id[PWDEDUP_KEY];
+  uint8_t id[PWDEDUP_KEY_BYTES];
   pw_dedup_entry e;
   Pw__Claimed *out = pw_alloc(sizeof *out);
   pw__claimed__init(out);
@@ -228,7 +228,7 @@
 }
 
 void pwonce_record(pw_once *o, const Pw__Record *in) {
-  uint8_t id[PWDEDUP_KEY];
+  uint8_t id[PWDEDUP_KEY_BYTES];
   hash_id(in->workspace, in->key, id);
   claim *c = find(o, id);
   if (c && (c->kept->answered || strcmp(c->kept->owner, in->id) != 0))
@@ -293,10 +293,10 @@
 }
 
 size_t pwonce_count(const pw_once *o) {
-  return HASH_COUNT(o->open) + HASH_COUNT(o->answered) + pwonce_past(o);
+  return HASH_COUNT(o->open) + HASH_COUNT(o->answered) + pwonce_past_count(o);
 }
 
-size_t pwonce_past(const pw_once *o) {
+size_t pwonce_past_count(const pw_once *o) {
   return pwdedup_count(o->past);
 }
 
--- a/packages/store/pwonce.h
+++ b/packages/store/pwonce.h
@@ -20,7 +20,7 @@
 
 /* For a ledger that does not know which requests ran before it: until this wall
 ** clock time (ms) it refuses claims of keys that it does not contain. */
-void pwonce_hold(pw_once *o, uint64_t until);
+void pwonce_refuse_until(pw_once *o, uint64_t until);
 
 /* Claims (workspace, key) for the owner in->id. The result's code is:
 **   PW_OK, answered 0   the claim is granted: run the request
@@ -29,7 +29,7 @@
 **   PW_E_RUNNING        another owner has the key, and no answer is recorded
 **   PW_E_REUSED         the key was claimed with another body
 **   PW_E_LEDGER_FULL    not claimed: the ledger is full
-**   PW_E_LEDGER_LOST    not claimed: unknown keys are refused (pwonce_hold)
+**   PW_E_LEDGER_LOST    not claimed: unknown keys are refused (pwonce_refuse_until)
 ** A claim sent again with the same id is granted again until its answer is
 ** recorded. After the claim was given back, its own id gets PW_E_RUNNING, and
 ** any other id may claim the key. */
@@ -46,7 +46,7 @@
 
 /* Number of claims of all stages, and of those that are past. */
 size_t pwonce_count(const pw_once *o);
-size_t pwonce_past(const pw_once *o);
+size_t pwonce_past_count(const pw_once *o);
 
 /* Fills the ledger's fields of a state. The caller frees out->claims and
 ** out->past.data; all else that they point to belongs to the ledger. */
--- a/packages/store/pwres.c
+++ b/packages/store/pwres.c
@@ -38,7 +38,7 @@
   return 0;
 }
 
-int pwres_is_leaders(const char *kind) {
+int pwres_is_leader_only(const char *kind) {
   return !strcmp(kind, "rollout") || !strcmp(kind, "assignment") ||
          !strcmp(kind, PW_KIND_SERVICE_ROLLOUT);
 }
@@ -128,7 +128,7 @@
   return r->first;
 }
 
-int pwres_is(const pw_resource *one, const char *kind) {
+int pwres_is_live(const pw_resource *one, const char *kind) {
   return !one->deleted && !strcmp(one->kind, kind);
 }
 
--- a/packages/store/pwres.h
+++ b/packages/store/pwres.h
@@ -70,7 +70,7 @@
 const pw_resource *pwres_first(const pw_res *r);
 
 /* Whether a resource is of this kind and not deleted. */
-int pwres_is(const pw_resource *one, const char *kind);
+int pwres_is_live(const pw_resource *one, const char *kind);
 
 /* The first resource or tombstone newer than `since`, or NULL. */
 const pw_resource *pwres_after(const pw_res *r, uint64_t since);
@@ -100,6 +100,6 @@
 
 /* Whether a kind is known, and whether only the control leader writes it. */
 int pwres_is_kind(const char *kind);
-int pwres_is_leaders(const char *kind);
+int pwres_is_leader_only(const char *kind);
 
 #endif
--- a/packages/store/pwschema.c
+++ b/packages/store/pwschema.c
@@ -267,8 +267,8 @@
   return found;
 }
 
-int pwschema_is_referred(const pw_res *r, const char *kind, const char *name,
-                         char *reason, size_t cap) {
+int pwschema_is_referenced(const pw_res *r, const char *kind, const char *name,
+                           char *reason, size_t cap) {
   for (const pw_resource *one = pwres_first(r); one; one = one->next) {
     if (one->deleted || !refers_to(one, kind, name))
       continue;
--- a/packages/store/pwschema.h
+++ b/packages/store/pwschema.h
@@ -19,7 +19,7 @@
 
 /* Whether a resource that is not deleted refers to the resource kind/name. The
 ** reason then says which one. */
-int pwschema_is_referred(const pw_res *r, const char *kind, const char *name,
-                         char *reason, size_t cap);
+int pwschema_is_referenced(const pw_res *r, const char *kind, const char *name,
+                           char *reason, size_t cap);
 
 #endif
--- a/packages/store/pwstate.c
+++ b/packages/store/pwstate.c
@@ -149,7 +149,7 @@
   for (size_t i = 0; i < ch->n_puts; i++) {
     const Pw__Put *p = ch->puts[i];
     if (p->remove &&
-        pwschema_is_referred(s->res, p->kind, p->name, reason, REASON_BYTES))
+        pwschema_is_referenced(s->res, p->kind, p->name, reason, REASON_BYTES))
       return PW_E_REFERENCE;
     if (p->remove)
       continue;
@@ -259,7 +259,8 @@
   if (s->keep_revision == pwres_revision(s->res))
     return s->keep_ms;
   s->keep_ms = policy_ms(s, "default", "once_keep_s", PW_ONCE_KEEP_MS);
-  pwonce_hold(s->once, policy_ms(s, PWSTATE_ONCE_HOLD, "once_from_s", 0));
+  pwonce_refuse_until(s->once,
+                      policy_ms(s, PWSTATE_ONCE_HOLD, "once_from_s", 0));
   s->keep_revision = pwres_revision(s->res);
   return s->keep_ms;
 }
@@ -273,7 +274,7 @@
   if (is_newer && d->since && d->since != pwdoc_version(s->doc))
     rc = PW_E_STALE;
   else
-    rc = pwdoc_take(s->doc, d);
+    rc = pwdoc_apply(s->doc, d);
   return new_outcome(rc, rc == PW_OK ? "" : pwcode_text(rc));
 }
 
@@ -364,7 +365,7 @@
   pwdoc_clear(s->doc);
   pw_code rc = pwonce_load(s->once, in);
   if (rc == PW_OK && in->document)
-    rc = pwdoc_take(s->doc, in->document);
+    rc = pwdoc_apply(s->doc, in->document);
   pw__state__free_unpacked(in, NULL);
   return rc;
 }
--- a/packages/store/pwstore.c
+++ b/packages/store/pwstore.c
@@ -71,8 +71,8 @@
   return 1;
 }
 
-int pwstore_record(const uint8_t *data, size_t n, size_t *at,
-                   const uint8_t **payload, size_t *len) {
+int pwstore_read_record(const uint8_t *data, size_t n, size_t *at,
+                        const uint8_t **payload, size_t *len) {
   size_t left = n - *at;
   if (all_zero(data + *at, left))
     return 0;
@@ -178,7 +178,7 @@
     size_t at = sizeof(file_header);
     const uint8_t *payload;
     size_t len;
-    if (pwstore_record(data, n, &at, &payload, &len) == 1)
+    if (pwstore_read_record(data, n, &at, &payload, &len) == 1)
       st->snapshot = pw__snapshot__unpack(NULL, len, payload);
     if (!st->snapshot) {
       pwbuf_fmt(err, "%s: damaged: no complete snapshot record\n", path);
@@ -245,7 +245,7 @@
   while (rc == PW_OK) {
     const uint8_t *payload;
     size_t len;
-    got = pwstore_record(data, n, &at, &payload, &len);
+    got = pwstore_read_record(data, n, &at, &payload, &len);
     if (got != 1)
       break;
     rc = take_batch(st, payload, len, &cap);
--- a/packages/store/pwstore.h
+++ b/packages/store/pwstore.h
@@ -68,7 +68,7 @@
 ** and *len filled and *at after the record; 0 at the end, where nothing or only
 ** zeros follow; -1 for a torn record, which reaches to the end or beyond; -2 for
 ** a damaged record with more data after it. */
-int pwstore_record(const uint8_t *data, size_t n, size_t *at,
-                   const uint8_t **payload, size_t *len);
+int pwstore_read_record(const uint8_t *data, size_t n, size_t *at,
+                        const uint8_t **payload, size_t *len);
 
 #endif
--- a/packages/wire/pwwire.c
+++ b/packages/wire/pwwire.c
@@ -114,7 +114,7 @@
 }
 
 /* An event has two parts: its number and value, then the peer's address. */
-int pwwire_lost(pw_sock *s, char *addr, size_t cap) {
+int pwwire_next_lost(pw_sock *s, char *addr, size_t cap) {
   uint8_t event[6];
   if (zmq_recv(s->monitor, event, sizeof event, ZMQ_DONTWAIT) < 0)
     return 0;
@@ -123,7 +123,7 @@
   return 1;
 }
 
-void *pwwire_lost_raw(pw_sock *s) {
+void *pwwire_monitor_raw(pw_sock *s) {
   return s->monitor;
 }
 
@@ -138,7 +138,7 @@
   return zmq_connect(s->zmq, addr);
 }
 
-void pwwire_hang_up(pw_sock *s, const char *addr) {
+void pwwire_disconnect(pw_sock *s, const char *addr) {
   zmq_disconnect(s->zmq, addr);
 }
 
@@ -157,7 +157,7 @@
   return s->zmq;
 }
 
-int pwwire_same(const pw_peer *a, const pw_peer *b) {
+int pwwire_same_peer(const pw_peer *a, const pw_peer *b) {
   return a->len == b->len && !memcmp(a->id, b->id, a->len);
 }
 
@@ -276,7 +276,7 @@
     Pw__Envelope *e = recv_one(s, from, &got);
     if (!e)
       continue;
-    pwhlc_see(s->w->hlc, e->hlc);
+    pwhlc_update(s->w->hlc, e->hlc);
     return e;
   }
   return NULL;
--- a/packages/wire/pwwire.h
+++ b/packages/wire/pwwire.h
@@ -48,12 +48,12 @@
 int pwwire_dial(pw_sock *s, const char *addr, pw_peer *peer);
 
 /* Reads the address of the next dialled peer whose connection was lost; 0: no
-** such event is left. pwwire_lost_raw is the socket to poll for events. */
-int pwwire_lost(pw_sock *s, char *addr, size_t cap);
-void *pwwire_lost_raw(pw_sock *s);
+** such event is left. pwwire_monitor_raw is the socket to poll for events. */
+int pwwire_next_lost(pw_sock *s, char *addr, size_t cap);
+void *pwwire_monitor_raw(pw_sock *s);
 
 /* Disconnects a dialled peer and drops the messages queued for it. */
-void pwwire_hang_up(pw_sock *s, const char *addr);
+void pwwire_disconnect(pw_sock *s, const char *addr);
 
 void pwwire_close(pw_sock *s);
 
@@ -68,7 +68,7 @@
 /* The ZeroMQ socket, for zmq_poll. */
 void *pwwire_raw(pw_sock *s);
 
-int pwwire_same(const pw_peer *a, const pw_peer *b);
+int pwwire_same_peer(const pw_peer *a, const pw_peer *b);
 
 /* Initializes an Envelope with a body, as in PW_ENVELOPE(RUN, run, &run). */
 #define PW_ENVELOPE(case_name, field, pointer)                                 \
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -414,7 +414,7 @@
 static void on_data(void *arg, const char *data, size_t n) {
   peer *p = arg;
   while (n > 0) {
-    size_t used = pwh1_take(&p->m, data, n);
+    size_t used = pwh1_feed(&p->m, data, n);
     data += used;
     n -= used;
     if (p->m.state == PWH1_BAD || p->m.state == PWH1_TOO_LARGE) {
@@ -437,7 +437,8 @@
   (void)arg;
 }
 
-static const pw_tcp_calls peer_calls = {on_nothing, on_data, on_ended, NULL};
+static const pw_tcp_callbacks peer_calls = {on_nothing, on_data, on_ended,
+                                            NULL};
 
 static void on_accept(struct ev_loop *ev, ev_io *w, int events) {
   (void)ev;
@@ -470,7 +471,7 @@
 
 static void on_beat_data(void *arg, const char *data, size_t n) {
   beat *b = arg;
-  pwh1_take(&b->m, data, n);
+  pwh1_feed(&b->m, data, n);
   if (b->m.state == PWH1_HEAD)
     return;
   int good = b->m.parser.status_code == 200;
@@ -485,8 +486,8 @@
   end_beat(arg);
 }
 
-static const pw_tcp_calls beat_calls = {on_nothing, on_beat_data, on_beat_ended,
-                                        NULL};
+static const pw_tcp_callbacks beat_calls = {on_nothing, on_beat_data,
+                                            on_beat_ended, NULL};
 
 static void on_beat(struct ev_loop *ev, ev_timer *w, int events) {
   (void)ev;
--- a/tests/fuzz/fuzz_parsers.c
+++ b/tests/fuzz/fuzz_parsers.c
@@ -6,13 +6,13 @@
 #include "pwbuf.h"
 #include "pwcons.h"
 #include "pwdoc.h"
+#include "pwgossipmsg.h"
 #include "pwkvfeed.h"
 #include "pwschema.h"
 #include "pwset.h"
 #include "pwstate.h"
 #include "pwstore.h"
 #include "pwsuspects.h"
-#include "pwtold.h"
 #include "pwtoml.h"
 
 #include <stdio.h>
@@ -42,7 +42,7 @@
 static void fuzz_record(const uint8_t *data, size_t n) {
   size_t at = 0, len;
   const uint8_t *payload;
-  while (pwstore_record(data, n, &at, &payload, &len) == 1) {
+  while (pwstore_read_record(data, n, &at, &payload, &len) == 1) {
     Pw__Batch *b = pw__batch__unpack(NULL, len, payload);
     if (b)
       pw__batch__free_unpacked(b, NULL);
@@ -121,12 +121,12 @@
 
 /* An engine's cache events, applied to an agent's cache estimate. */
 static void fuzz_cache_events(const uint8_t *data, size_t n) {
-  pw_cache_news news;
+  pw_cache_update news;
   pw_cache c;
   if (pwkvfeed_read((const char *)data, n, 1000, &news) != 0)
     return;
   pwcache_init(&c);
-  pwcache_news(&c, &news);
+  pwcache_update(&c, &news);
   pwcache_free(&c);
   pwkvfeed_clear(&news);
 }
@@ -134,15 +134,15 @@
 /* Bytes of an HTTP connection in pieces of up to 64; the headers of a complete message are then read. */
 static void fuzz_http(const uint8_t *data, size_t n) {
   pw_h1 m;
-  pw_ask ask;
-  pw_told told;
+  pw_request_info ask;
+  pw_answer_info told;
   if (n < 2)
     return;
   size_t step = 1 + data[1] % 64;
   pwh1_init(&m, data[0] & 1 ? HTTP_REQUEST : HTTP_RESPONSE, 256);
   for (size_t at = 2; at < n;) {
     size_t piece = n - at < step ? n - at : step;
-    size_t used = pwh1_take(&m, (const char *)data + at, piece);
+    size_t used = pwh1_feed(&m, (const char *)data + at, piece);
     if (used == 0)
       break;
     at += used;
@@ -153,7 +153,7 @@
     plat_read_request(&m, &ask);
     plat_read_answer(&m, &ask, &told);
     for (int i = 0; i < m.nheaders; i++)
-      pwh1_is_hop(&m, &m.header[i]);
+      pwh1_is_hop_by_hop(&m, &m.header[i]);
     pwh1_reset(&m);
   }
   pwh1_free(&m);
@@ -163,10 +163,10 @@
 static void fuzz_dialect(const uint8_t *data, size_t n) {
   char why[160];
   pw_site *site;
-  pw_beat beat;
+  pw_heartbeat beat;
   if (plat_read_site((const char *)data, n, &site, why, sizeof why) == PW_OK)
-    pwsite_drop(site);
-  plat_read_beat("id", (const char *)data, n, &beat, why, sizeof why);
+    pwsite_release(site);
+  plat_read_heartbeat("id", (const char *)data, n, &beat, why, sizeof why);
   plat_read_leave("id", (const char *)data, n, &beat, why, sizeof why);
   char id[PW_NAME_MAX];
   char *path = pw_alloc(n + 1);
@@ -182,41 +182,42 @@
   pw_doc *d = pwdoc_new();
   Pw__Document first;
   pwdoc_pack_next(d, 1, "a first document", 16, &first);
-  pwdoc_take(d, &first);
+  pwdoc_apply(d, &first);
   if (in && in->size < 65536)
-    pwdoc_take(d, in);
+    pwdoc_apply(d, in);
   free(first.data.data);
   pwdoc_free(d);
   if (in)
     pw__document__free_unpacked(in, NULL);
 }
 
-static void check_suspect(void *arg, uint64_t sign, pw_quar_news news) {
+static void check_suspect(void *arg, uint64_t sign, pw_quar_change news) {
   const pw_quarantine *q = arg;
-  if (!sign || news == PWQUAR_OLD || pwquar_ends(q, sign) > PW_QUARANTINE_ENDS)
+  if (!sign || news == PWQUAR_UNCHANGED ||
+      pwquar_crashes(q, sign) > PW_QUARANTINE_CRASHES)
     abort();
 }
 
 /* Gossip of a gateway, one datagram after another: its loads, and the requests that crashed targets. */
 static void fuzz_gossip(const uint8_t *data, size_t n) {
-  pw_told_loads told = {0};
+  pw_gossip_loads told = {0};
   pw_loads sum = {0};
   pw_quarantine *q = pwquar_new();
   for (size_t at = 0; at + 1 < n;) {
     size_t len = data[at] < n - at - 1 ? data[at] : n - at - 1;
     Pw__Gossip *m = pw__gossip__unpack(NULL, len, data + at + 1);
     if (m) {
-      pwtold_take(&told, m, 1);
-      pwsuspects_take(q, m->suspects, m->n_suspects, 1, check_suspect, q);
+      pwgossipmsg_take(&told, m, 1);
+      pwsuspects_receive(q, m->suspects, m->n_suspects, 1, check_suspect, q);
       pwquar_tick(q, 2);
       pw__gossip__free_unpacked(m, NULL);
     }
     pwloads_clear(&sum);
-    pwtold_add(&told, &sum);
+    pwgossipmsg_sum(&told, &sum);
     at += len + 1;
   }
   pwquar_free(q);
-  pwtold_free(&told);
+  pwgossipmsg_free(&told);
   pwloads_free(&sum);
 }
 
--- a/tests/test_cache.c
+++ b/tests/test_cache.c
@@ -20,13 +20,13 @@
 /* Applies events, or a snapshot; returns whether the estimate is complete. */
 static int apply(pw_cache *c, uint64_t epoch, int snapshot, int64_t at,
                  pw_cache_event *list, size_t n, uint64_t newest) {
-  pw_cache_news update = {.epoch = epoch,
-                          .newest = newest,
-                          .is_picture = snapshot,
-                          .at = at,
-                          .event = list,
-                          .n = n};
-  return pwcache_news(c, &update);
+  pw_cache_update update = {.epoch = epoch,
+                            .newest = newest,
+                            .is_snapshot = snapshot,
+                            .at = at,
+                            .event = list,
+                            .n = n};
+  return pwcache_update(c, &update);
 }
 
 static void test_order(void) {
@@ -37,13 +37,13 @@
   CHECK(apply(&c, 7, 0, 0, &stored, 1, 1) == 1);
   CHECK(pwcache_expect(&c, "c1", 20) == 100);
   pw_cache_event evicted = event_of(2, 1, 0, 30);
-  pwcache_seen(&c, "c1", 150, 100, 100, 40); /* served after the eviction */
+  pwcache_note(&c, "c1", 150, 100, 100, 40); /* served after the eviction */
   CHECK(apply(&c, 7, 0, 0, &evicted, 1, 2) == 1);
   CHECK(pwcache_expect(&c, "c1", 50) == 150); /* a late event changes nothing */
   evicted = event_of(3, 1, 0, 60);
   CHECK(apply(&c, 7, 0, 0, &evicted, 1, 3) == 1);
   CHECK(pwcache_expect(&c, "c1", 70) == 0);
-  pwcache_seen(&c, "c1", 200, 0, 0, 55);
+  pwcache_note(&c, "c1", 200, 0, 0, 55);
   CHECK(apply(&c, 7, 0, 0, &evicted, 1, 3) == 1); /* repeated: no effect */
   CHECK(pwcache_expect(&c, "c1", 70) == 200);
   pwcache_free(&c);
@@ -56,8 +56,8 @@
   pw_cache_event later = event_of(12, 1, 100, 10);
   CHECK(apply(&c, 7, 0, 0, &later, 1, 12) == 0); /* event 11 is missing */
   CHECK(apply(&c, 7, 0, 0, NULL, 0, 12) == 0);   /* event 11 is still missing */
-  pwcache_seen(&c, "c2", 50, 0, 0, 20);
-  pwcache_seen(&c, "c3", 60, 0, 0, 40);
+  pwcache_note(&c, "c2", 50, 0, 0, 20);
+  pwcache_note(&c, "c3", 60, 0, 0, 40);
   pw_cache_event held = event_of(0, 1, 90, 10);
   CHECK(apply(&c, 7, 1, 30, &held, 1, 12) == 1);
   CHECK(pwcache_expect(&c, "c1", 50) == 90);
@@ -106,7 +106,7 @@
     int chat = (int)pwrand_below(&r, CHATS);
     log_change(g, chat, pwrand_below(&r, 3) ? 1 + (uint32_t)now : 0, now);
     if (pwrand_below(&r, 5) == 0) { /* the agent itself sends a request */
-      pwcache_seen(&c, g->log[g->n - 1].chat, 1 + (uint32_t)now, 0, 0, now);
+      pwcache_note(&c, g->log[g->n - 1].chat, 1 + (uint32_t)now, 0, 0, now);
       log_change(g, chat, 1 + (uint32_t)now, now);
     }
     if (pwrand_below(&r, 8))
@@ -140,7 +140,7 @@
 /* Malformed answers of an engine must be rejected, and malformed events skipped. */
 static void test_read(void) {
   static const char *const bad[] = {"", "{", "[]", "{}", "{\"events\": 1}"};
-  pw_cache_news update;
+  pw_cache_update update;
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     CHECK(pwkvfeed_read(bad[i], strlen(bad[i]), 100, &update) == -1);
   const char *text =
@@ -148,7 +148,7 @@
       "[1, {}, {\"key\": \"\"}, {\"n\": 3, \"key\": \"w/c\", \"tokens\": -1}, "
       "{\"n\": 3, \"key\": \"w/c\", \"tokens\": 7, \"age_ms\": 10}]}";
   CHECK(pwkvfeed_read(text, strlen(text), 100, &update) == 0);
-  CHECK(update.epoch == 5 && update.newest == 3 && update.is_picture);
+  CHECK(update.epoch == 5 && update.newest == 3 && update.is_snapshot);
   CHECK(update.at == 96 && update.n == 1 && update.event[0].at == 90);
   CHECK(!strcmp(update.event[0].chat, "w/c") && update.event[0].tokens == 7);
   pwkvfeed_clear(&update);
--- a/tests/test_canary.c
+++ b/tests/test_canary.c
@@ -76,14 +76,14 @@
   result out = {0};
   int64_t since = 0;
   for (int64_t now = 0; now < 2 * OVER_MS; now += TICK_MS) {
-    pw_canary_ask in = {.over_ms = OVER_MS,
-                        .elapsed_ms = now,
-                        .in_share_ms = now - since,
-                        .slots_to = now > 1000 ? 100 : 0,
-                        .slots_from = 100,
-                        .expose_share = 0.1,
-                        .route = route,
-                        .nroutes = ROUTES};
+    pw_canary_input in = {.over_ms = OVER_MS,
+                          .elapsed_ms = now,
+                          .in_share_ms = now - since,
+                          .slots_to = now > 1000 ? 100 : 0,
+                          .slots_from = 100,
+                          .expose_share = 0.1,
+                          .route = route,
+                          .nroutes = ROUTES};
     pw_canary next;
     if (pwcanary_next(&c, &in, &next)) {
       if (next.share != c.share)
@@ -219,18 +219,18 @@
 /* --- steps --- */
 
 /* A rollout with enough slots and nothing against the version. */
-static pw_canary_ask healthy(int64_t elapsed) {
-  return (pw_canary_ask){.over_ms = OVER_MS,
-                         .elapsed_ms = elapsed,
-                         .in_share_ms = 10000,
-                         .slots_to = 10,
-                         .slots_from = 10,
-                         .expose_share = 0.1};
+static pw_canary_input healthy(int64_t elapsed) {
+  return (pw_canary_input){.over_ms = OVER_MS,
+                           .elapsed_ms = elapsed,
+                           .in_share_ms = 10000,
+                           .slots_to = 10,
+                           .slots_from = 10,
+                           .expose_share = 0.1};
 }
 
 static void test_steps(void) {
   pw_canary c = {0}, next;
-  pw_canary_ask in = healthy(100);
+  pw_canary_input in = healthy(100);
   in.slots_to = 0;
   CHECK(!pwcanary_next(&c, &in, &next)); /* it has no targets yet */
   in = healthy(1000);
@@ -263,7 +263,7 @@
   pw_canary_route bad = {.good_to = 100, .bad_to = 30, .good_from = 1000};
   for (int share = 0; share <= PWCANARY_ALL; share += 50) {
     pw_canary c = {.share = share}, next;
-    pw_canary_ask in = healthy(9000);
+    pw_canary_input in = healthy(9000);
     in.route = &bad;
     in.nroutes = 1;
     CHECK(pwcanary_next(&c, &in, &next));
@@ -278,7 +278,7 @@
       .good_to = 60, .bad_to = 5, .good_from = 300, .bad_from = 3};
   double ratio = pwcanary_ratio(&doubt, 1);
   pw_canary c = {.share = 90}, next;
-  pw_canary_ask in = healthy(9000);
+  pw_canary_input in = healthy(9000);
   CHECK(ratio > PWCANARY_DOUBT && ratio < PWCANARY_BAD);
   in.route = &doubt;
   in.nroutes = 1;
--- a/tests/test_cold.c
+++ b/tests/test_cold.c
@@ -15,32 +15,35 @@
 static void test_is_cold(void) {
   pw_cold c = {0};
   pw_cold_service none = {0};
-  CHECK(!pwcold_is(&c, &SERVICE, 1000));
+  CHECK(!pwcold_is_cold(&c, &SERVICE, 1000));
   c.until = 2000;
-  CHECK(pwcold_is(&c, &SERVICE, 1000) && !pwcold_is(&c, &SERVICE, 2000));
-  CHECK(!pwcold_is(&c, &none, 1000)); /* its service declares no cold phase */
+  CHECK(pwcold_is_cold(&c, &SERVICE, 1000) &&
+        !pwcold_is_cold(&c, &SERVICE, 2000));
+  CHECK(!pwcold_is_cold(&c, &none,
+                        1000)); /* its service declares no cold phase */
   c.until = 0;
-  c.doubt_at = 5000; /* it may have turned cold without a heartbeat */
-  CHECK(pwcold_is(&c, &SERVICE, 7999) && !pwcold_is(&c, &SERVICE, 8000));
+  c.maybe_cold_at = 5000; /* it may have turned cold without a heartbeat */
+  CHECK(pwcold_is_cold(&c, &SERVICE, 7999) &&
+        !pwcold_is_cold(&c, &SERVICE, 8000));
 }
 
 /* A gateway may send one request to a cold target at each of its turns; a warm target takes all
 ** requests. */
 static void test_turns(void) {
   pw_cold c = {.until = 3000};
-  CHECK(
-      !pwcold_may(&c, &SERVICE, 0.1, 0.5, 1000)); /* its turn is 181 ms later */
-  CHECK(!pwcold_may(&c, &SERVICE, 0.1, 0.0, 1170));
-  CHECK(pwcold_may(&c, &SERVICE, 0.1, 0.9, 1280));
-  CHECK(
-      pwcold_may(&c, &SERVICE, 0.1, 0.9, 1290)); /* the turn is not used yet */
+  CHECK(!pwcold_may_send(&c, &SERVICE, 0.1, 0.5,
+                         1000)); /* its turn is 181 ms later */
+  CHECK(!pwcold_may_send(&c, &SERVICE, 0.1, 0.0, 1170));
+  CHECK(pwcold_may_send(&c, &SERVICE, 0.1, 0.9, 1280));
+  CHECK(pwcold_may_send(&c, &SERVICE, 0.1, 0.9,
+                        1290)); /* the turn is not used yet */
   pwcold_sent(&c, &SERVICE, 0.1, 1290);
-  CHECK(!pwcold_may(&c, &SERVICE, 0.1, 0.9, 1620));
-  CHECK(pwcold_may(&c, &SERVICE, 0.1, 0.9,
-                   1700)); /* the next turn is 362 ms later */
-  CHECK(pwcold_may(&c, &SERVICE, 0.1, 0.9, 3000));
+  CHECK(!pwcold_may_send(&c, &SERVICE, 0.1, 0.9, 1620));
+  CHECK(pwcold_may_send(&c, &SERVICE, 0.1, 0.9,
+                        1700)); /* the next turn is 362 ms later */
+  CHECK(pwcold_may_send(&c, &SERVICE, 0.1, 0.9, 3000));
   pwcold_sent(&c, &SERVICE, 0.1, 3000);
-  CHECK(pwcold_may(&c, &SERVICE, 0.1, 0.9, 3001));
+  CHECK(pwcold_may_send(&c, &SERVICE, 0.1, 0.9, 3001));
 }
 
 /* How gateways share the rate limit of one target: by their share of the requests, by one gateway
@@ -75,8 +78,9 @@
           how == BY_ONE ? 1 : weight[i] / sum * (0.8 + 0.4 * pwrand_unit(r));
       if (how == BY_ONE && i > 0)
         continue;
-      if (how != UNLIMITED && !pwcold_may(&c[i], &SERVICE, part > 1 ? 1 : part,
-                                          pwrand_unit(r), now))
+      if (how != UNLIMITED &&
+          !pwcold_may_send(&c[i], &SERVICE, part > 1 ? 1 : part, pwrand_unit(r),
+                           now))
         continue;
       pwcold_sent(&c[i], &SERVICE, part > 1 ? 1 : part, now);
       at[n++] = now;
@@ -125,10 +129,10 @@
 
 /* --- targets --- */
 
-static pw_beat beat(const char *id, const char *address,
-                    const char *availability_zone, uint64_t seq,
-                    int64_t cold_ms) {
-  pw_beat b = {.slots = 4, .seq = seq, .cold_ms = cold_ms};
+static pw_heartbeat beat(const char *id, const char *address,
+                         const char *availability_zone, uint64_t seq,
+                         int64_t cold_ms) {
+  pw_heartbeat b = {.slots = 4, .seq = seq, .cold_ms = cold_ms};
   pw_copy(b.id, sizeof b.id, id);
   pw_copy(b.service, sizeof b.service, "s");
   pw_copy(b.address, sizeof b.address, address);
@@ -140,35 +144,37 @@
 ** announced. */
 static void test_heartbeats(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_beat b = beat("a", "10.0.0.1:80", "az", 1, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
+  pw_heartbeat b = beat("a", "10.0.0.1:80", "az", 1, 0);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1000) == PWFLEET_JOINED);
   b = beat("a", "10.0.0.1:80", "az", 2, 3000);
-  CHECK(pwfleet_beat(f, &b, 0, 1100) == PWFLEET_COLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1100) == PWFLEET_COLD);
   pw_target *t = pwfleet_find(f, "a");
   CHECK(t->cold.until == 4100);
-  pwfleet_beat_of(t, &b);
+  pwfleet_to_heartbeat(t, &b);
   CHECK(b.cold_ms == 3000); /* as of the heartbeat */
   b = beat("a", "10.0.0.1:80", "az", 3, 2900);
-  CHECK(pwfleet_beat(f, &b, 0, 1210) == PWFLEET_RENEWED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1210) == PWFLEET_RENEWED);
   b = beat("a", "10.0.0.1:80", "az", 4,
            3000); /* it crashed, or turned cold again */
-  CHECK(pwfleet_beat(f, &b, 0, 2000) == PWFLEET_COLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 2000) == PWFLEET_COLD);
   b = beat("a", "10.0.0.1:80", "az", 5, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 2100) == PWFLEET_WARM && t->cold.until == 0);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 2100) == PWFLEET_WARM &&
+        t->cold.until == 0);
   b = beat("a", "10.0.0.1:80", "az", 4, 3000); /* a late heartbeat */
-  CHECK(pwfleet_beat(f, &b, 0, 2200) == PWFLEET_OLD && t->cold.until == 0);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 2200) == PWFLEET_UNCHANGED &&
+        t->cold.until == 0);
   pwfleet_free(f);
 }
 
 static pw_fleet_picked pick(pw_fleet *f, int64_t now) {
-  pw_fleet_ask ask = {.service = "s",
-                      .wait_ms = 1000,
-                      .draw = 0,
-                      .bound = {1e6, 1e6, 0, 0},
-                      .cold = SERVICE,
-                      .part = 1};
+  pw_fleet_criteria ask = {.service = "s",
+                           .wait_ms = 1000,
+                           .draw = 0,
+                           .bound = {1e6, 1e6, 0, 0},
+                           .cold = SERVICE,
+                           .part = 1};
   pw_fleet_picked got = pwfleet_pick(f, &ask, now);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   return got;
 }
 
@@ -177,28 +183,28 @@
 static void test_evacuated(void) {
   char *first[] = {"az-1"}, *both[] = {"az-1", "az-2"};
   pw_fleet *f = pwfleet_new("az-1", 100, 1000);
-  pw_beat a = beat("a", "10.0.0.1:80", "az-1", 1, 0);
-  pw_beat b = beat("b", "10.0.0.2:80", "az-2", 1, 0);
-  pwfleet_beat(f, &a, 0, 1000);
+  pw_heartbeat a = beat("a", "10.0.0.1:80", "az-1", 1, 0);
+  pw_heartbeat b = beat("b", "10.0.0.2:80", "az-2", 1, 0);
+  pwfleet_heartbeat(f, &a, 0, 1000);
   CHECK(pwfleet_evacuate(f, 5, first, 1, 1000));
   CHECK(pwfleet_usable(f, "s", 1000) == 0 && pwfleet_alive(f, "s", 1000) == 1);
   CHECK(pick(f, 1000).target == NULL); /* no last resort */
-  CHECK(pwfleet_sum(f, "s", PWFLEET_BOTH, 1000).slots == 0);
-  pwfleet_beat(f, &b, 0, 1000);
+  CHECK(pwfleet_sum(f, "s", PWFLEET_ANY_VERSION, 1000).slots == 0);
+  pwfleet_heartbeat(f, &b, 0, 1000);
   CHECK(pwfleet_usable(f, "s", 1000) == 1);
   CHECK(pick(f, 1000).target == pwfleet_find(f, "b"));
   CHECK(!pwfleet_evacuate(f, 4, NULL, 0, 1000));
   CHECK(pwfleet_usable(f, "s", 1000) == 1);
-  pw_beat c =
+  pw_heartbeat c =
       beat("c", "10.0.0.3:80", "az-1", 1, 0); /* joins during the evacuation */
-  pwfleet_beat(f, &c, 0, 1000);
+  pwfleet_heartbeat(f, &c, 0, 1000);
   CHECK(pwfleet_usable(f, "s", 1000) == 1);
   CHECK(pwfleet_evacuate(f, 6, both, 2, 1100) && pwfleet_evacuated(f) == 2);
   CHECK(pwfleet_usable(f, "s", 1100) == 0);
   CHECK(pwfleet_evacuate(f, 7, NULL, 0, 1200));
   CHECK(pwfleet_usable(f, "s", 1200) == 3);
-  CHECK(pwcold_is(&pwfleet_find(f, "a")->cold, &SERVICE, 1300));
-  CHECK(!pwcold_is(&pwfleet_find(f, "a")->cold, &SERVICE, 4300));
+  CHECK(pwcold_is_cold(&pwfleet_find(f, "a")->cold, &SERVICE, 1300));
+  CHECK(!pwcold_is_cold(&pwfleet_find(f, "a")->cold, &SERVICE, 4300));
   pwfleet_free(f);
 }
 
--- a/tests/test_consensus.c
+++ b/tests/test_consensus.c
@@ -319,7 +319,7 @@
 
 /* A read under the lease must see every acknowledged change. */
 static void read_under_lease(model *m, const node *x) {
-  if (pwcons_lease(x->cons, now_of(m, x)) &&
+  if (pwcons_holds_lease(x->cons, now_of(m, x)) &&
       pwres_revision(pwstate_resources(x->state)) < m->acked_revision)
     violate(m, "a read under the lease missed an accepted change");
 }
@@ -345,7 +345,7 @@
   if (x->applied - x->d.snapshot->index < 40 || pwrand_below(&m->rnd, 4))
     return;
   size_t n;
-  pwcons_shed(x->cons);
+  pwcons_free_snapshot_state(x->cons);
   uint8_t *bytes = pwstate_save(x->state, &n);
   pwcons_compact(x->cons, x->applied, bytes, n);
   disk_snapshot(&x->d, pwcons_snapshot(x->cons), 1);
@@ -354,20 +354,20 @@
 static void work(model *m, node *x) {
   pw_cons_ready r;
   while (pwcons_ready(x->cons, &r)) {
-    for (size_t i = 0; i < r.nearly; i++)
+    for (size_t i = 0; i < r.n_early; i++)
       send_message(m, x, r.early[i]);
     if (!m->faults_off && pwrand_below(&m->rnd, 2000) == 0) {
       crash(x); /* before the sync, which loses unsynced writes */
       return;
     }
     store(x, &r);
-    for (size_t i = 0; i < r.nlate; i++)
+    for (size_t i = 0; i < r.n_late; i++)
       send_message(m, x, r.late[i]);
     pwcons_advance(x->cons);
     check_leader(m, x);
   }
   const Pw__Entry *e;
-  while ((e = pwcons_next(x->cons)) != NULL)
+  while ((e = pwcons_next_committed(x->cons)) != NULL)
     apply(m, x, e);
   read_under_lease(m, x);
   snapshot(m, x);
@@ -578,7 +578,7 @@
     break;
   case 12:
     if (x->up && !x->frozen)
-      pwcons_hand_over(x->cons, now_of(m, x));
+      pwcons_transfer_leadership(x->cons, now_of(m, x));
     break;
   case 13:
     restart_all(m, NULL);
@@ -619,7 +619,7 @@
     read_under_lease(m, x); /* the first action after a stall may be a read */
     pwcons_tick(x->cons, now_of(m, x));
     int lost = m->size && pwcons_silence(x->cons) > 3 * LEASE;
-    if (lost || pwmember_seeks(x->cons, x->d.id, LEASE))
+    if (lost || pwmember_must_join(x->cons, x->d.id, LEASE))
       join(m, x);
     uint64_t draw = pwrand_below(&m->rnd, 20);
     if (draw == 0)
@@ -655,7 +655,7 @@
   while (m->now < until && !m->broken && !done) {
     step(m);
     node *l = leader(m);
-    done = l && pwcons_lease(l->cons, now_of(m, l));
+    done = l && pwcons_holds_lease(l->cons, now_of(m, l));
     for (int i = 0; done && i < m->count; i++)
       done = m->n[i].up && m->n[i].applied + 20 > l->applied &&
              is_settled(m, l, &m->n[i]);
@@ -890,7 +890,7 @@
   receive_from_2(c, 9000, m);
   CHECK(pwcons_ready(c, &r));
   CHECK(r.must_sync && r.term == 2 && r.vote == 2);
-  CHECK(r.nearly == 0 && r.nlate == 1);
+  CHECK(r.n_early == 0 && r.n_late == 1);
   pwcons_free(c);
   disk_clear(&d);
 }
@@ -906,7 +906,7 @@
   m.from = 3;
   flush(c);
   pwcons_step(c, now, &m);
-  CHECK(pwcons_ready(c, &r) && r.nlate == 1);
+  CHECK(pwcons_ready(c, &r) && r.n_late == 1);
   CHECK(r.late[0]->round == 77);
   uint64_t hint = r.late[0]->hint;
   pwcons_advance(c);
--- a/tests/test_core.c
+++ b/tests/test_core.c
@@ -175,7 +175,7 @@
   pw_hlc h;
   pwhlc_init(&h);
   uint64_t a = pwhlc_tick(&h, 1000);
-  pwhlc_see(&h, a + 5000000); /* a peer's clock is ahead */
+  pwhlc_update(&h, a + 5000000); /* a peer's clock is ahead */
   uint64_t b = pwhlc_tick(&h, 1000);
   CHECK(b > a + 5000000); /* the effect is stamped after its cause */
 }
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -14,9 +14,9 @@
 
 /* --- targets --- */
 
-static pw_beat heartbeat(const char *id, const char *address, uint64_t seq,
-                         int leaving) {
-  pw_beat b = {.slots = 4, .leaving = leaving, .seq = seq};
+static pw_heartbeat heartbeat(const char *id, const char *address, uint64_t seq,
+                              int leaving) {
+  pw_heartbeat b = {.slots = 4, .leaving = leaving, .seq = seq};
   pw_copy(b.id, sizeof b.id, id);
   pw_copy(b.service, sizeof b.service, "s");
   pw_copy(b.address, sizeof b.address, address);
@@ -31,24 +31,24 @@
 static void test_fleet(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
   /* a second target, which is never silent */
-  pw_beat c = heartbeat("c", "10.0.0.3:80", 1, 0);
-  pwfleet_beat(f, &c, 0, 100000);
-  pw_beat b = heartbeat("a", "10.0.0.1:80", 5, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
-  CHECK(pwfleet_beat(f, &b, 0, 1010) == PWFLEET_OLD);
+  pw_heartbeat c = heartbeat("c", "10.0.0.3:80", 1, 0);
+  pwfleet_heartbeat(f, &c, 0, 100000);
+  pw_heartbeat b = heartbeat("a", "10.0.0.1:80", 5, 0);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1000) == PWFLEET_JOINED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1010) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_usable(f, "s", 1000) == 2);
   b = heartbeat("a", "10.0.0.1:80", 7, 1);
-  CHECK(pwfleet_beat(f, &b, 0, 1020) == PWFLEET_LEAVING);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1020) == PWFLEET_LEAVING);
   b = heartbeat("a", "10.0.0.1:80", 6, 0); /* a delayed heartbeat */
-  CHECK(pwfleet_beat(f, &b, 0, 1030) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1030) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_usable(f, "s", 1030) == 1);
   /* a new target takes over the address */
   b = heartbeat("b", "10.0.0.1:80", 1, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1040) == PWFLEET_JOINED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1040) == PWFLEET_JOINED);
   CHECK(pwfleet_find(f, "a")->is_gone);
   /* a target that is gone stays gone */
   b = heartbeat("a", "10.0.0.1:80", 9, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1050) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1050) == PWFLEET_UNCHANGED);
   CHECK(!pwfleet_find(f, "b")->is_gone);
   /* a target is silent when its heartbeats are missing */
   int silent = 0;
@@ -60,20 +60,20 @@
   CHECK(pwfleet_usable(f, "s", 1700) == 2);
   CHECK(pwfleet_usable(f, "s", 1900) == 1);
   b = heartbeat("b", "10.0.0.1:80", 2, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1900) == PWFLEET_BACK);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1900) == PWFLEET_BACK);
   CHECK(pwfleet_usable(f, "s", 1900) == 2);
-  CHECK(pwfleet_renew(f, "b", 0, 2, 1950) == PWFLEET_OLD);
+  CHECK(pwfleet_renew(f, "b", 0, 2, 1950) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_renew(f, "b", 0, 3, 1950) == PWFLEET_RENEWED);
-  CHECK(pwfleet_renew(f, "nobody", 0, 3, 1950) == PWFLEET_OLD);
+  CHECK(pwfleet_renew(f, "nobody", 0, 3, 1950) == PWFLEET_UNCHANGED);
   CHECK(!strcmp(pwfleet_find(f, "b")->address, "10.0.0.1:80"));
-  CHECK(pwfleet_told_silent(f, "b", 0, 1, 2000) == PWFLEET_SILENT);
-  CHECK(pwfleet_told_silent(f, "b", 0, 1, 2000) == PWFLEET_OLD);
+  CHECK(pwfleet_set_silent(f, "b", 0, 1, 2000) == PWFLEET_SILENT);
+  CHECK(pwfleet_set_silent(f, "b", 0, 1, 2000) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_usable(f, "s", 2000) == 1);
   /* without an address a heartbeat changes nothing */
   b = heartbeat("c", "", 9, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 2000) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 2000) == PWFLEET_UNCHANGED);
   CHECK(!pwfleet_find(f, "c")->is_gone && pwfleet_find(f, "c")->seq == 1);
-  CHECK(pwfleet_told_silent(f, "c", 0, 1, 2000) == PWFLEET_SILENT);
+  CHECK(pwfleet_set_silent(f, "c", 0, 1, 2000) == PWFLEET_SILENT);
   /* all silent at once: the fault is in the listener */
   CHECK(pwfleet_usable(f, "s", 2000) == 2);
   pwfleet_tick(f, 10000, NULL, NULL);
@@ -81,9 +81,9 @@
   pwfleet_free(f);
 }
 
-static pw_beat heartbeat_of_incarnation(const char *id, uint64_t born,
-                                        uint64_t seq) {
-  pw_beat b = heartbeat(id, "10.0.0.1:80", seq, 0);
+static pw_heartbeat heartbeat_of_incarnation(const char *id, uint64_t born,
+                                             uint64_t seq) {
+  pw_heartbeat b = heartbeat(id, "10.0.0.1:80", seq, 0);
   b.born = born;
   return b;
 }
@@ -91,50 +91,51 @@
 /* A target that restarts under its id gets a new incarnation, to which no state of the old one applies. */
 static void test_incarnations(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_beat b = heartbeat_of_incarnation("a", 10, 500);
+  pw_heartbeat b = heartbeat_of_incarnation("a", 10, 500);
   b.cold_ms = 5000;
-  CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
-  pw_target *old = pwfleet_hold(pwfleet_find(f, "a"));
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1000) == PWFLEET_JOINED);
+  pw_target *old = pwfleet_retain(pwfleet_find(f, "a"));
   old->inflight = old->nconns = 1;
   old->failures = 3;
-  old->set_aside = 9000;
+  old->ejected_until = 9000;
   b = heartbeat_of_incarnation("a", 20, 1);
-  CHECK(pwfleet_beat(f, &b, 0, 1100) == PWFLEET_RESTARTED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1100) == PWFLEET_RESTARTED);
   pw_target *t = pwfleet_find(f, "a");
   CHECK(t != old && old->is_gone && !t->is_gone && t->born == 20);
-  CHECK(t->inflight == 0 && t->failures == 0 && t->set_aside == 0);
+  CHECK(t->inflight == 0 && t->failures == 0 && t->ejected_until == 0);
   CHECK(t->cold.until == 0 && pwfleet_usable(f, "s", 1100) == 1);
   CHECK(t->hash == old->hash); /* prompts keep it as home target ... */
   CHECK(t->short_hash != old->short_hash); /* ... but none is cached there */
   /* delayed messages of an earlier incarnation, or without one, change nothing */
   b = heartbeat_of_incarnation("a", 10, 501);
   b.leaving = 1;
-  CHECK(pwfleet_beat(f, &b, 0, 1110) == PWFLEET_OLD && !t->is_leaving);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1110) == PWFLEET_UNCHANGED &&
+        !t->is_leaving);
   b = heartbeat_of_incarnation("a", 0, 900);
-  CHECK(pwfleet_beat(f, &b, 0, 1110) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1110) == PWFLEET_UNCHANGED);
   b = heartbeat_of_incarnation("a", 10, 0);
-  CHECK(pwfleet_beat(f, &b, 1, 1110) == PWFLEET_OLD && !t->is_gone);
-  CHECK(pwfleet_renew(f, "a", 10, 502, 1120) == PWFLEET_OLD);
-  CHECK(pwfleet_told_silent(f, "a", 10, 1, 1120) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 1, 1110) == PWFLEET_UNCHANGED && !t->is_gone);
+  CHECK(pwfleet_renew(f, "a", 10, 502, 1120) == PWFLEET_UNCHANGED);
+  CHECK(pwfleet_set_silent(f, "a", 10, 1, 1120) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_knows(f, "a", 10) && pwfleet_knows(f, "a", 20));
   CHECK(!pwfleet_knows(f, "a", 30) && !pwfleet_knows(f, "b", 0));
   /* a message of an instance of an older version names no incarnation and means the known one */
-  CHECK(pwfleet_renew(f, "a", PW_BORN_UNTOLD, 2, 1130) == PWFLEET_RENEWED);
-  b = heartbeat_of_incarnation("a", PW_BORN_UNTOLD, 3);
-  CHECK(pwfleet_beat(f, &b, 0, 1140) == PWFLEET_RENEWED && t->born == 20);
-  b = heartbeat_of_incarnation("new", PW_BORN_UNTOLD, 1);
+  CHECK(pwfleet_renew(f, "a", PW_BORN_UNKNOWN, 2, 1130) == PWFLEET_RENEWED);
+  b = heartbeat_of_incarnation("a", PW_BORN_UNKNOWN, 3);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1140) == PWFLEET_RENEWED && t->born == 20);
+  b = heartbeat_of_incarnation("new", PW_BORN_UNKNOWN, 1);
   b.address[0] = '2';
-  CHECK(pwfleet_beat(f, &b, 0, 1140) == PWFLEET_JOINED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1140) == PWFLEET_JOINED);
   CHECK(pwfleet_find(f, "new")->born == 0);
   /* a target that leaves without naming an incarnation is gone until its next one */
   b = heartbeat_of_incarnation("a", 0, 0);
-  CHECK(pwfleet_beat(f, &b, 1, 1200) == PWFLEET_GONE && t->is_gone);
+  CHECK(pwfleet_heartbeat(f, &b, 1, 1200) == PWFLEET_GONE && t->is_gone);
   b = heartbeat_of_incarnation("a", 20, 4);
-  CHECK(pwfleet_beat(f, &b, 0, 1210) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1210) == PWFLEET_UNCHANGED);
   b = heartbeat_of_incarnation("a", 30, 1);
-  CHECK(pwfleet_beat(f, &b, 0, 1220) == PWFLEET_RESTARTED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1220) == PWFLEET_RESTARTED);
   b = heartbeat_of_incarnation("a", 20, 0);
-  CHECK(pwfleet_beat(f, &b, 1, 1230) == PWFLEET_OLD); /* delayed */
+  CHECK(pwfleet_heartbeat(f, &b, 1, 1230) == PWFLEET_UNCHANGED); /* delayed */
   CHECK(!pwfleet_find(f, "a")->is_gone);
   /* an earlier incarnation is kept until its requests and connections have ended */
   pwfleet_tick(f, 1300, NULL, NULL);
@@ -142,14 +143,14 @@
   old->inflight = old->nconns = 0;
   pwfleet_tick(f, 1400, NULL, NULL);
   CHECK(pwfleet_retired(f) == NULL);
-  pwfleet_drop(old);
+  pwfleet_release(old);
   pwfleet_free(f);
 }
 
 /* A packed heartbeat carries the incarnation; one of an older version, without the field, is understood. */
 static void test_incarnations_packed(void) {
   Pw__Beat packed;
-  pw_beat b = heartbeat_of_incarnation("a", 20, 1), got;
+  pw_heartbeat b = heartbeat_of_incarnation("a", 20, 1), got;
   pwtable_pack(&packed, &b, 0, 0, 0);
   pwtable_unpack(&packed, &got);
   CHECK(got.born == 20);
@@ -162,7 +163,7 @@
   CHECK(got.born == 0);
   packed.born = 0; /* as an older version leaves it */
   pwtable_unpack(&packed, &got);
-  CHECK(got.born == PW_BORN_UNTOLD);
+  CHECK(got.born == PW_BORN_UNKNOWN);
 }
 
 /* Malformed heartbeats are rejected with a reason. */
@@ -204,8 +205,9 @@
                 {"}", ""},
                 {"{", "[{"}};
   char text[512], why[160];
-  pw_beat b;
-  CHECK(plat_read_beat("a", good, strlen(good), &b, why, sizeof why) == PW_OK);
+  pw_heartbeat b;
+  CHECK(plat_read_heartbeat("a", good, strlen(good), &b, why, sizeof why) ==
+        PW_OK);
   CHECK(b.born == 1700000000000 && b.seq == 4 && b.slots == 8 && !b.leaving);
   for (size_t i = 0; i < sizeof change / sizeof change[0]; i++) {
     const char *at = strstr(good, change[i].what);
@@ -213,13 +215,15 @@
     snprintf(text, sizeof text, "%.*s%s%s", (int)(at - good), good,
              change[i].instead, at + strlen(change[i].what));
     why[0] = 0;
-    pw_code rc = plat_read_beat("a", text, strlen(text), &b, why, sizeof why);
+    pw_code rc =
+        plat_read_heartbeat("a", text, strlen(text), &b, why, sizeof why);
     CHECK((rc == PW_E_SCHEMA || rc == PW_E_BODY) && why[0]);
   }
   char deep[40000];
   memset(deep, '[', sizeof deep);
-  CHECK(plat_read_beat("a", deep, sizeof deep, &b, why, sizeof why) != PW_OK);
-  CHECK(plat_read_beat("a", "\0", 1, &b, why, sizeof why) != PW_OK);
+  CHECK(plat_read_heartbeat("a", deep, sizeof deep, &b, why, sizeof why) !=
+        PW_OK);
+  CHECK(plat_read_heartbeat("a", "\0", 1, &b, why, sizeof why) != PW_OK);
   CHECK(plat_read_leave("a", "", 0, &b, why, sizeof why) == PW_OK && !b.born);
   static const char leave[] = "{\"born\":5}";
   CHECK(plat_read_leave("a", leave, strlen(leave), &b, why, sizeof why) ==
@@ -230,8 +234,8 @@
 
 static void test_ejected(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
-  pwfleet_beat(f, &b, 0, 0);
+  pw_heartbeat b = heartbeat("a", "10.0.0.1:80", 1, 0);
+  pwfleet_heartbeat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
   pwfleet_failed(t, 10);
   CHECK(pwfleet_usable(f, "s", 10) == 1);
@@ -249,19 +253,19 @@
   for (int i = 0; i < 4; i++) {
     snprintf(id, sizeof id, "t%d", i);
     snprintf(address, sizeof address, "10.0.0.%d:80", i + 1);
-    pw_beat b = heartbeat(id, address, 1, 0);
-    pwfleet_beat(f, &b, 0, 0);
+    pw_heartbeat b = heartbeat(id, address, 1, 0);
+    pwfleet_heartbeat(f, &b, 0, 0);
   }
   for (int i = 0; i < 20; i++)
     for (pw_target *t = pwfleet_first(f); t; t = t->hh.next)
-      pwfleet_erred(t, i);
+      pwfleet_error_answered(t, i);
   CHECK(pwfleet_usable(f, "s", 20) == 4);
   for (int i = 0; i < 40; i++)
     for (pw_target *t = pwfleet_first(f); t; t = t->hh.next)
       if (strcmp(t->id, "t2") != 0)
         pwfleet_answered(t, 10, 20 + i);
       else
-        pwfleet_erred(t, 20 + i);
+        pwfleet_error_answered(t, 20 + i);
   CHECK(pwfleet_usable(f, "s", 60) == 3);
   CHECK(pwfleet_usable(f, "s", 10000) == 4);
   pwfleet_free(f);
@@ -271,17 +275,17 @@
 ** not. */
 static void test_last_resort(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
-  pwfleet_beat(f, &b, 0, 0);
+  pw_heartbeat b = heartbeat("a", "10.0.0.1:80", 1, 0);
+  pwfleet_heartbeat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
   pwfleet_failed(t, 10);
   pwfleet_failed(t, 10);
-  pw_fleet_ask ask = {.service = "s", .wait_ms = 100, .bound = {2, 2}};
+  pw_fleet_criteria ask = {.service = "s", .wait_ms = 100, .bound = {2, 2}};
   pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
   CHECK(got.target == t);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   b = heartbeat("a", "10.0.0.1:80", 2, 1);
-  pwfleet_beat(f, &b, 0, 30);
+  pwfleet_heartbeat(f, &b, 0, 30);
   CHECK(pwfleet_pick(f, &ask, 40).target == NULL);
   pwfleet_free(f);
 }
@@ -291,51 +295,51 @@
 ** heartbeats, and a single delayed heartbeat does not bring the crashed one back. */
 static void test_late_heartbeat(void) {
   pw_fleet *f = pwfleet_new("az", 1000, 1000);
-  pw_beat b = heartbeat("new", "10.0.0.1:80", 1, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
+  pw_heartbeat b = heartbeat("new", "10.0.0.1:80", 1, 0);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1000) == PWFLEET_JOINED);
   b = heartbeat("crashed", "10.0.0.1:80", 40, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 1100) == PWFLEET_JOINED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1100) == PWFLEET_JOINED);
   b = heartbeat("new", "10.0.0.1:80", 2, 0);
-  pwfleet_beat(f, &b, 0, 2000);
+  pwfleet_heartbeat(f, &b, 0, 2000);
   b = heartbeat("new", "10.0.0.1:80", 3, 0);
   /* too soon after the last one to count as evidence */
-  pwfleet_beat(f, &b, 0, 2010);
+  pwfleet_heartbeat(f, &b, 0, 2010);
   CHECK(pwfleet_find(f, "new")->is_gone);
   b = heartbeat("new", "10.0.0.1:80", 4, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 3000) == PWFLEET_BACK);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 3000) == PWFLEET_BACK);
   CHECK(!pwfleet_find(f, "new")->is_gone);
   CHECK(pwfleet_find(f, "crashed")->is_gone);
   CHECK(pwfleet_usable(f, "s", 3000) == 1);
   /* one more delayed heartbeat */
   b = heartbeat("crashed", "10.0.0.1:80", 41, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 3100) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 3100) == PWFLEET_UNCHANGED);
   CHECK(!pwfleet_find(f, "new")->is_gone);
   /* the same with renewals, which control instances send each other */
   b = heartbeat("late", "10.0.0.1:80", 9, 0);
-  CHECK(pwfleet_beat(f, &b, 0, 3200) == PWFLEET_JOINED);
-  CHECK(pwfleet_renew(f, "new", 0, 5, 4000) == PWFLEET_OLD);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 3200) == PWFLEET_JOINED);
+  CHECK(pwfleet_renew(f, "new", 0, 5, 4000) == PWFLEET_UNCHANGED);
   CHECK(pwfleet_renew(f, "new", 0, 6, 5000) == PWFLEET_BACK);
   CHECK(pwfleet_find(f, "late")->is_gone && pwfleet_usable(f, "s", 5000) == 1);
   /* a gateway applies what control has decided */
   pw_fleet *gateway = pwfleet_new("az", 1000, 1000);
-  pwfleet_believe(gateway);
+  pwfleet_trust_updates(gateway);
   b = heartbeat("new", "10.0.0.1:80", 1, 0);
-  pwfleet_beat(gateway, &b, 0, 1000);
+  pwfleet_heartbeat(gateway, &b, 0, 1000);
   b = heartbeat("crashed", "10.0.0.1:80", 40, 0);
-  pwfleet_beat(gateway, &b, 0, 1100);
+  pwfleet_heartbeat(gateway, &b, 0, 1100);
   b = heartbeat("new", "10.0.0.1:80", 4, 0);
-  CHECK(pwfleet_beat(gateway, &b, 0, 3000) == PWFLEET_BACK);
+  CHECK(pwfleet_heartbeat(gateway, &b, 0, 3000) == PWFLEET_BACK);
   CHECK(pwfleet_usable(gateway, "s", 3000) == 1);
   pwfleet_free(gateway);
   /* from a table with an older time: the target that was heard later keeps the address */
   b = heartbeat("older", "10.0.0.1:80", 7, 0);
-  pwfleet_beat(f, &b, 0, 500);
+  pwfleet_heartbeat(f, &b, 0, 500);
   CHECK(pwfleet_find(f, "older")->is_gone && pwfleet_usable(f, "s", 5000) == 1);
   /* a target that has left stays gone */
-  pwfleet_beat(f, &b, 1, 3200);
+  pwfleet_heartbeat(f, &b, 1, 3200);
   for (int i = 0; i < 5; i++) {
     b = heartbeat("older", "10.0.0.1:80", 10 + (uint64_t)i, 0);
-    CHECK(pwfleet_beat(f, &b, 0, 4000 + 1000 * i) == PWFLEET_OLD);
+    CHECK(pwfleet_heartbeat(f, &b, 0, 4000 + 1000 * i) == PWFLEET_UNCHANGED);
   }
   pwfleet_free(f);
 }
@@ -351,8 +355,8 @@
       char id[16], address[32];
       snprintf(id, sizeof id, "t%d", i);
       snprintf(address, sizeof address, "10.0.0.%d:80", i + 1);
-      pw_beat b = heartbeat(id, address, 1, 0);
-      pwfleet_beat(f, &b, 0, 0);
+      pw_heartbeat b = heartbeat(id, address, 1, 0);
+      pwfleet_heartbeat(f, &b, 0, 0);
     }
     pw_loads all = {0}, own = {0};
     for (int i = 1; i < TARGETS; i++) {
@@ -368,17 +372,17 @@
     pw_target *least_loaded = pwfleet_find(f, "t0");
     int to_least_loaded = 0;
     for (int i = 0; i < PICKS; i++) {
-      pw_fleet_ask ask = {.service = "s",
-                          .wait_ms = 1000,
-                          .is_sticky = is_sticky,
-                          .stays = 1, /* has no effect here */
-                          .key = pwrand(&r),
-                          .how = PWPICK_BY_LOAD,
-                          .draw = pwrand_unit(&r),
-                          .bound = {2, 2}};
+      pw_fleet_criteria ask = {.service = "s",
+                               .wait_ms = 1000,
+                               .is_sticky = is_sticky,
+                               .home_only = 1, /* has no effect here */
+                               .key = pwrand(&r),
+                               .how = PWPICK_BY_LOAD,
+                               .draw = pwrand_unit(&r),
+                               .bound = {2, 2}};
       pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
       to_least_loaded += got.target == least_loaded;
-      pwfleet_drop(got.target);
+      pwfleet_release(got.target);
     }
     printf("sticky %d: %d of %d to the target with the least load\n", is_sticky,
            to_least_loaded, PICKS);
@@ -391,21 +395,21 @@
 ** connections. */
 static void test_connections(void) {
   pw_fleet *f = pwfleet_new("az", 100000, 1000);
-  pw_beat b = heartbeat("a", "10.0.0.1:80", 1, 0);
-  pwfleet_beat(f, &b, 0, 0);
+  pw_heartbeat b = heartbeat("a", "10.0.0.1:80", 1, 0);
+  pwfleet_heartbeat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
-  pw_fleet_ask ask = {
+  pw_fleet_criteria ask = {
       .service = "s", .wait_ms = 100, .bound = {2, 2}, .conns = 3};
   t->nconns = 2;
   pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
   CHECK(got.target == t);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   t->nconns = 3;
   CHECK(pwfleet_pick(f, &ask, 20).target == NULL);
   ask.conns = 0;
   got = pwfleet_pick(f, &ask, 20);
   CHECK(got.target == t);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   t->nconns = 0;
   pwfleet_free(f);
 }
@@ -486,38 +490,38 @@
 ** that was sent there before fetches nothing. */
 static void test_shared_prefix(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_fleet_ask ask = {.service = "s",
-                      .is_sticky = 1,
-                      .key = 42,
-                      .bound = {1.6, 2, 0, 0},
-                      .part = 1};
-  pw_beat a = heartbeat("a", "10.0.0.1:80", 1, 0);
-  pw_beat b = heartbeat("b", "10.0.0.2:80", 1, 0);
-  pwfleet_beat(f, &a, 0, 1000);
-  pwfleet_beat(f, &b, 0, 1000);
+  pw_fleet_criteria ask = {.service = "s",
+                           .is_sticky = 1,
+                           .key = 42,
+                           .bound = {1.6, 2, 0, 0},
+                           .part = 1};
+  pw_heartbeat a = heartbeat("a", "10.0.0.1:80", 1, 0);
+  pw_heartbeat b = heartbeat("b", "10.0.0.2:80", 1, 0);
+  pwfleet_heartbeat(f, &a, 0, 1000);
+  pwfleet_heartbeat(f, &b, 0, 1000);
   pw_fleet_picked got = pwfleet_pick(f, &ask, 1000);
   pw_target *home = got.target;
   pw_target *other = pwfleet_find(f, strcmp(home->id, "a") ? "a" : "b");
   CHECK(got.is_home && got.holder == NULL);
-  pwfleet_drop(got.target);
-  ask.beginning = other->short_hash;
+  pwfleet_release(got.target);
+  ask.prefix_target = other->short_hash;
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == other);
-  pwfleet_drop(got.target);
-  ask.last = home->short_hash;
+  pwfleet_release(got.target);
+  ask.last_target = home->short_hash;
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == NULL);
-  pwfleet_drop(got.target);
-  ask.last = 0;
-  ask.beginning = home->short_hash;
+  pwfleet_release(got.target);
+  ask.last_target = 0;
+  ask.prefix_target = home->short_hash;
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == NULL);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   other->is_gone = 1; /* its cache is gone with it */
-  ask.beginning = other->short_hash;
+  ask.prefix_target = other->short_hash;
   got = pwfleet_pick(f, &ask, 1000);
   CHECK(got.target == home && got.holder == NULL);
-  pwfleet_drop(got.target);
+  pwfleet_release(got.target);
   pwfleet_free(f);
 }
 
@@ -563,7 +567,7 @@
 /* --- target lists in notices --- */
 
 static void count_valid(void *arg, const Pw__Beat *in) {
-  pw_beat b;
+  pw_heartbeat b;
   pwtable_unpack(in, &b);
   *(int *)arg += b.slots == 4 && !strcmp(b.service, "s") && b.address[0];
 }
@@ -571,7 +575,7 @@
 /* A few heartbeats are packed as they are, many compressed; all are read back. */
 static void test_tables(void) {
   for (int n = 1; n < 400; n += 57) {
-    pw_beat b[400];
+    pw_heartbeat b[400];
     Pw__Beat packed[400], *at[400];
     Pw__Notice notice = PW__NOTICE__INIT;
     int n_valid = 0;
@@ -597,19 +601,19 @@
 }
 
 /* Remaining cold time of a target whose heartbeat came `age` ms ago. */
-static int64_t cold_left(const pw_beat *b, int64_t age) {
+static int64_t cold_left(const pw_heartbeat *b, int64_t age) {
   return b->cold_ms > age ? b->cold_ms - age : 0;
 }
 
 typedef struct comparison {
-  const pw_beat *want;
+  const pw_heartbeat *want;
   int n, wrong;
 } comparison;
 
 static void compare(void *arg, const Pw__Beat *in) {
   comparison *s = arg;
-  pw_beat got;
-  const pw_beat *want = &s->want[s->n++];
+  pw_heartbeat got;
+  const pw_heartbeat *want = &s->want[s->n++];
   pwtable_unpack(in, &got);
   s->wrong += strcmp(got.id, want->id) != 0 ||
               strcmp(got.service, want->service) != 0 ||
@@ -624,16 +628,16 @@
 ** may send it to hundreds of gateways at once. */
 static void test_large_table(void) {
   enum { MANY = 3000, BYTES_A_TARGET = 12 };
-  static pw_beat b[MANY];
+  static pw_heartbeat b[MANY];
   static Pw__Beat packed[MANY], *at[MANY];
   static const char *const zone[] = {"north-a", "north-b", "south-a"};
   pw_random r = {.seed = test_seed(92)};
   Pw__Notice notice = PW__NOTICE__INIT;
   for (int i = 0; i < MANY; i++) {
-    b[i] = (pw_beat){.slots = i % 20 ? 64 : 6,
-                     .seq = 8 + pwrand(&r) % 4,
-                     .leaving = i % 100 == 0,
-                     .cold_ms = i % 50 ? 0 : 900};
+    b[i] = (pw_heartbeat){.slots = i % 20 ? 64 : 6,
+                          .seq = 8 + pwrand(&r) % 4,
+                          .leaving = i % 100 == 0,
+                          .cold_ms = i % 50 ? 0 : 900};
     snprintf(b[i].id, sizeof b[i].id, "i-%010llx",
              (unsigned long long)(pwrand(&r) & 0xffffffffffULL));
     snprintf(b[i].service, sizeof b[i].service, "%s",
@@ -674,7 +678,7 @@
     Pw__Document d;
     char *text = document(&r, 400 + (int)pwrand_below(&r, 100));
     pwdoc_pack_next(leader, v * 3, text, strlen(text), &d);
-    CHECK(pwdoc_take(leader, &d) == PW_OK);
+    CHECK(pwdoc_apply(leader, &d) == PW_OK);
     free(d.data.data);
     if (pwrand_below(&r, 3) == 0) { /* the follower misses this version */
       free(text);
@@ -684,7 +688,7 @@
     if (packed->since)
       CHECK(packed->data.len < strlen(text) / 4);
     CHECK(packed == pwdoc_packed(leader, pwdoc_version(follower)));
-    CHECK(pwdoc_take(follower, packed) == PW_OK);
+    CHECK(pwdoc_apply(follower, packed) == PW_OK);
     const Pw__Document *passed = pwdoc_packed(follower, packed->since);
     CHECK(pw_same(passed->data.data, passed->data.len, packed->data.data,
                   packed->data.len));
@@ -697,13 +701,13 @@
   Pw__Document old = *pwdoc_packed(follower, 0);
   old.version = 1;
   uint64_t held = pwdoc_version(leader);
-  CHECK(pwdoc_take(leader, &old) == PW_OK && pwdoc_version(leader) == held);
+  CHECK(pwdoc_apply(leader, &old) == PW_OK && pwdoc_version(leader) == held);
   old.version = held + 1;
   old.since = 2;
-  CHECK(pwdoc_take(leader, &old) == PW_E_STALE);
+  CHECK(pwdoc_apply(leader, &old) == PW_E_STALE);
   old.since = 0;
   old.data.len /= 2;
-  CHECK(pwdoc_take(leader, &old) == PW_E_CORRUPT);
+  CHECK(pwdoc_apply(leader, &old) == PW_E_CORRUPT);
   CHECK(pwdoc_version(leader) == held);
   pwdoc_free(leader);
   pwdoc_free(follower);
@@ -719,7 +723,7 @@
   fcntl(fd[0], F_SETFL, O_NONBLOCK);
   pw_trace *t = pwtrace_new("g", fd[1], 4000);
   for (int64_t now = 0; now < 10000; now++) {
-    pwtrace_line(t, PWTRACE_WELL, now, "placed", "n=%d", (int)now);
+    pwtrace_line(t, PWTRACE_ROUTINE, now, "placed", "n=%d", (int)now);
     if (now % 100 == 0)
       pwtrace_line(t, PWTRACE_FAIL, now, "refused", "n=%d", (int)now);
     if (now % 20 == 0)
--- a/tests/test_gather.c
+++ b/tests/test_gather.c
@@ -7,7 +7,7 @@
 ** targets arrive all the time, each update is delayed for 2 ms a watcher after
 ** the one before (716 ms), and the notice of the configuration waits with
 ** them. */
-#include "pwgather.h"
+#include "pwcoalesce.h"
 #include "pwtest.h"
 
 typedef struct result {
@@ -21,10 +21,10 @@
   result out = {0};
   for (int64_t from = 1000; from < 3000; from += 7) {
     int64_t targets_at = 0, versions_at = 0, messages = 0;
-    int64_t gather = pwgather_targets_ms(relying, others);
+    int64_t gather = pwcoalesce_targets_ms(relying, others);
     for (int64_t now = 0; now < 6000; now += 10) {
       int is_version = now >= from && versions_at < from;
-      int64_t pause = apart ? pwgather_versions_ms(relying + others) : gather;
+      int64_t pause = apart ? pwcoalesce_versions_ms(relying + others) : gather;
       if (now - targets_at >= gather) {
         targets_at = now;
         messages += relying + others;
@@ -57,15 +57,16 @@
 /* The rate of messages is bounded, also when configurations follow one
 ** another. */
 static void test_bounds(void) {
-  CHECK(pwgather_versions_ms(0) == 30 && pwgather_targets_ms(0, 0) == 30);
+  CHECK(pwcoalesce_versions_ms(0) == 30 && pwcoalesce_targets_ms(0, 0) == 30);
   for (int n = 1; n <= 3000; n *= 2) {
-    CHECK(pwgather_versions_ms(n) <= pwgather_targets_ms(n, 0));
-    CHECK(1000.0 * n / (double)pwgather_versions_ms(n) <= 4100);
-    CHECK(1000.0 * n / (double)pwgather_targets_ms(n, 0) <= 520);
-    CHECK(pwgather_targets_ms(n / 10, n - n / 10) <=
-          pwgather_targets_ms(n, 0) / 2 + 30);
+    CHECK(pwcoalesce_versions_ms(n) <= pwcoalesce_targets_ms(n, 0));
+    CHECK(1000.0 * n / (double)pwcoalesce_versions_ms(n) <= 4100);
+    CHECK(1000.0 * n / (double)pwcoalesce_targets_ms(n, 0) <= 520);
+    CHECK(pwcoalesce_targets_ms(n / 10, n - n / 10) <=
+          pwcoalesce_targets_ms(n, 0) / 2 + 30);
   }
-  CHECK(pwgather_versions_ms(358) < 100 && pwgather_versions_ms(1000) <= 250);
+  CHECK(pwcoalesce_versions_ms(358) < 100 &&
+        pwcoalesce_versions_ms(1000) <= 250);
 }
 
 int main(void) {
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -14,7 +14,7 @@
   while (at < n && m->state != PWH1_DONE && m->state != PWH1_BAD &&
          m->state != PWH1_TOO_LARGE) {
     size_t piece = n - at < step ? n - at : step;
-    size_t used = pwh1_take(m, text + at, piece);
+    size_t used = pwh1_feed(m, text + at, piece);
     if (used == 0)
       break;
     at += used;
@@ -36,8 +36,8 @@
     size_t used = feed(&m, two, step);
     CHECK(m.state == PWH1_DONE && m.nurl == 2 && !memcmp(m.url, "/a", 2));
     CHECK(body.len == 3 && !memcmp(body.data, "abc", 3));
-    CHECK(pwh1_is_hop(&m, pwh1_find(&m, "x-own")));
-    CHECK(!pwh1_is_hop(&m, pwh1_find(&m, "host")));
+    CHECK(pwh1_is_hop_by_hop(&m, pwh1_find(&m, "x-own")));
+    CHECK(!pwh1_is_hop_by_hop(&m, pwh1_find(&m, "host")));
     pwh1_reset(&m);
     feed(&m, two + used, step);
     CHECK(m.state == PWH1_DONE && !memcmp(m.url, "/b", 2));
@@ -97,8 +97,8 @@
 
 static void test_platform_headers(void) {
   pw_h1 m;
-  pw_ask ask;
-  pw_told told;
+  pw_request_info ask;
+  pw_answer_info told;
   pwh1_init(&m, HTTP_REQUEST, 1000);
   feed(
       &m,
@@ -117,8 +117,8 @@
                                      "X-Kv-Backup",    "Kv-From", "Kv-Fetch",
                                      "X-Urgency-Class"};
   for (size_t i = 0; i < sizeof ours / sizeof ours[0]; i++)
-    CHECK(!plat_passes(pwh1_find(&m, ours[i])));
-  CHECK(plat_passes(pwh1_find(&m, "X-Token-Count")));
+    CHECK(!plat_forwards_header(pwh1_find(&m, ours[i])));
+  CHECK(plat_forwards_header(pwh1_find(&m, "X-Token-Count")));
   pw_h1 a;
   pwh1_init(&a, HTTP_RESPONSE, 1000);
   feed(&a,
@@ -126,12 +126,13 @@
        "X-Replica-Load: 3,1,8\r\nContent-Length: 0\r\n\r\n",
        1000);
   plat_read_answer(&a, &ask, &told);
-  CHECK(told.is_mine && told.not_run && !told.is_whole && told.running == 3);
+  CHECK(told.id_matches && told.not_run && !told.is_signed &&
+        told.running == 3);
   pwh1_reset(&a);
   feed(&a, "HTTP/1.1 200 X\r\nX-Request-Id: 9d\r\nContent-Length: 0\r\n\r\n",
        1000);
   plat_read_answer(&a, &ask, &told);
-  CHECK(!told.is_mine);
+  CHECK(!told.id_matches);
   pwh1_free(&a);
   pwh1_free(&m);
 }
@@ -161,10 +162,10 @@
                {"Retry-After: 1000000000000\r\n", 1000000000000000},
                {"Retry-After: 99999999999999999999999\r\n", 1000000000000000},
                {"Retry-After: 999999999999999999999999999999\r\n", 0}};
-  const pw_ask ask = {.deadline_ms = -1};
+  const pw_request_info ask = {.deadline_ms = -1};
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
     pw_h1 a;
-    pw_told told;
+    pw_answer_info told;
     pw_buf text = {0};
     pwbuf_fmt(&text, "HTTP/1.1 503 X\r\n%sContent-Length: 0\r\n\r\n",
               cases[i].lines);
@@ -182,10 +183,10 @@
   static const char *const lines[] = {"", "Server-Leaving: 0\r\n",
                                       "Server-Leaving: 1\r\n",
                                       "server-leaving:  1 \r\n"};
-  const pw_ask ask = {.deadline_ms = -1};
+  const pw_request_info ask = {.deadline_ms = -1};
   for (size_t i = 0; i < sizeof lines / sizeof lines[0]; i++) {
     pw_h1 a;
-    pw_told told;
+    pw_answer_info told;
     pw_buf text = {0};
     pwbuf_fmt(&text, "HTTP/1.1 200 X\r\n%sContent-Length: 0\r\n\r\n", lines[i]);
     pwh1_init(&a, HTTP_RESPONSE, 1000);
@@ -200,7 +201,7 @@
 static void test_calls(void) {
   char id[PW_NAME_MAX];
   CHECK(plat_read_call("GET", "/config", id) == PWCALL_SITE_READ);
-  CHECK(plat_read_call("PUT", "/replicas/i-1", id) == PWCALL_BEAT);
+  CHECK(plat_read_call("PUT", "/replicas/i-1", id) == PWCALL_HEARTBEAT);
   CHECK(!strcmp(id, "i-1"));
   CHECK(plat_read_call("DELETE", "/replicas/i-1", id) == PWCALL_LEAVE);
   CHECK(plat_read_call("POST", "/config", id) == PWCALL_BAD_METHOD);
--- a/tests/test_hold.c
+++ b/tests/test_hold.c
@@ -6,9 +6,9 @@
 ** connection is answered into the same buffer: more than the 160 MB that a
 ** gateway has. A process that exceeds its memory is killed, with every
 ** caller's request. */
+#include "pwbuflimits.h"
 #include "pwclock.h"
 #include "pwconn.h"
-#include "pwhold.h"
 #include "pwports.h"
 #include "pwtest.h"
 
@@ -25,22 +25,22 @@
 /* --- limits --- */
 
 static void test_limits(void) {
-  pw_hold none = pwhold_limits(0, 80 * MB);
-  CHECK(none.untaken == 128 * KB && none.ahead == 256 * KB);
+  pw_buflimits none = pwbuflimits_of(0, 80 * MB);
+  CHECK(none.unwritten == 128 * KB && none.ahead == 256 * KB);
   CHECK(none.body == 20 * MB && none.stall_ms == 5000);
-  CHECK(none.stall_whole_ms == 60000);
-  pw_hold before = none;
+  CHECK(none.stall_complete_ms == 60000);
+  pw_buflimits before = none;
   for (size_t held = 0; held <= 100 * MB; held += MB) {
-    pw_hold l = pwhold_limits(held, 80 * MB);
-    CHECK(held > 40 * MB || l.untaken == none.untaken);
-    CHECK(l.untaken <= before.untaken && l.ahead <= before.ahead);
+    pw_buflimits l = pwbuflimits_of(held, 80 * MB);
+    CHECK(held > 40 * MB || l.unwritten == none.unwritten);
+    CHECK(l.unwritten <= before.unwritten && l.ahead <= before.ahead);
     CHECK(l.body <= before.body && l.stall_ms <= before.stall_ms);
-    CHECK(l.stall_whole_ms <= before.stall_whole_ms);
+    CHECK(l.stall_complete_ms <= before.stall_complete_ms);
     before = l;
   }
-  CHECK(before.untaken == 0 && before.ahead == 4 * KB);
+  CHECK(before.unwritten == 0 && before.ahead == 4 * KB);
   CHECK(before.body == 64 * KB && before.stall_ms == 1000);
-  CHECK(before.stall_whole_ms == 1000);
+  CHECK(before.stall_complete_ms == 1000);
 }
 
 /* Callers stop reading, more of them in each step; each is sent data until it
@@ -48,21 +48,21 @@
 ** above the budget, as the limits are computed once a step. */
 static size_t most_buffered(size_t callers, size_t budget, size_t a_step,
                             int is_bounded) {
-  size_t *untaken = calloc(callers, sizeof *untaken);
+  size_t *unwritten = calloc(callers, sizeof *unwritten);
   size_t held = 0, most = 0;
-  pw_hold l = pwhold_limits(0, budget);
+  pw_buflimits l = pwbuflimits_of(0, budget);
   for (int step = 0; step < 400; step++) {
     size_t stopped = callers * (size_t)(step + 1) / 100;
     for (size_t i = 0; i < stopped && i < callers; i++)
-      if (untaken[i] <= l.untaken) {
-        untaken[i] += a_step;
+      if (unwritten[i] <= l.unwritten) {
+        unwritten[i] += a_step;
         held += a_step;
       }
     if (is_bounded)
-      l = pwhold_limits(held, budget);
+      l = pwbuflimits_of(held, budget);
     most = held > most ? held : most;
   }
-  free(untaken);
+  free(unwritten);
   return most;
 }
 
@@ -94,7 +94,7 @@
   struct ev_loop *ev;
   pw_tcp_loop tcp;
   pw_conns conns;
-  pw_hold hold;
+  pw_buflimits hold;
   stream stream[CALLERS];
   int nstreams, ended, abandoned;
   size_t most;
@@ -128,7 +128,7 @@
                         .arg = b,
                         .handle = handle,
                         .abandoned = abandoned};
-  b->hold = pwhold_limits(0, BUDGET);
+  b->hold = pwbuflimits_of(0, BUDGET);
   pwconns_start(&b->conns, test_listen(&b->at));
 }
 
@@ -159,10 +159,10 @@
   static const char piece[PIECE];
   for (int i = 0; i < b->nstreams; i++) {
     stream *s = &b->stream[i];
-    if (!s->c || pwtcp_pending(s->c->tcp) > b->hold.untaken)
+    if (!s->c || pwtcp_pending(s->c->tcp) > b->hold.unwritten)
       continue;
     if (s->sent++ < PIECES) {
-      pwconn_piece(s->c, piece, PIECE);
+      pwconn_write(s->c, piece, PIECE);
       continue;
     }
     pw_conn *c = s->c;
@@ -177,11 +177,11 @@
   char block[16 * KB];
   ev_run(b->ev, EVRUN_NOWAIT);
   feed(b);
-  size_t held = pwconns_check(&b->conns, now);
-  b->hold = pwhold_limits(held, BUDGET);
-  b->conns.ahead_max = b->hold.ahead;
+  size_t held = pwconns_close_stalled(&b->conns, now);
+  b->hold = pwbuflimits_of(held, BUDGET);
+  b->conns.read_ahead_max = b->hold.ahead;
   b->conns.stall_ms = b->hold.stall_ms;
-  b->conns.stall_whole_ms = b->hold.stall_whole_ms;
+  b->conns.stall_complete_ms = b->hold.stall_complete_ms;
   b->most = held > b->most ? held : b->most;
   for (int i = STOPPED; i < CALLERS; i++) {
     ssize_t n = recv(b->fd[i], block, sizeof block, MSG_DONTWAIT);
@@ -243,7 +243,7 @@
   }
   for (int i = 0; i < TURNS && b->ended < asked; i++)
     ev_run(b->ev, EVRUN_NOWAIT);
-  size_t held = pwconns_check(&b->conns, 1);
+  size_t held = pwconns_close_stalled(&b->conns, 1);
   CHECK(b->ended > 60 && b->ended < asked / 2);
   CHECK(held < 256 * KB);
   char block[16 * KB];
@@ -280,10 +280,10 @@
   for (int i = 0; i < TURNS && pwtcp_pending(b->conns.first->tcp) == 0; i++)
     ev_run(b->ev, EVRUN_NOWAIT);
   b->conns.stall_ms = 5000;
-  b->conns.stall_whole_ms = 60000;
-  pwconns_check(&b->conns, 1);
-  pwconns_check(&b->conns, 6001);
-  pwconns_sweep(&b->conns, pwclock_ms() + 61000);
+  b->conns.stall_complete_ms = 60000;
+  pwconns_close_stalled(&b->conns, 1);
+  pwconns_close_stalled(&b->conns, 6001);
+  pwconns_close_expired(&b->conns, pwclock_ms() + 61000);
   CHECK(b->conns.nstalled == 0 && b->conns.count == 1);
   for (int i = 0; i < TURNS && got < LONG_BODY; i++) {
     ev_run(b->ev, EVRUN_NOWAIT);
@@ -294,9 +294,9 @@
   ask(fd);
   for (int i = 0; i < TURNS && pwtcp_pending(b->conns.first->tcp) == 0; i++)
     ev_run(b->ev, EVRUN_NOWAIT);
-  b->conns.stall_whole_ms = 1000;
-  pwconns_check(&b->conns, 7000);
-  pwconns_check(&b->conns, 8000);
+  b->conns.stall_complete_ms = 1000;
+  pwconns_close_stalled(&b->conns, 7000);
+  pwconns_close_stalled(&b->conns, 8000);
   CHECK(b->conns.nstalled == 1);
   tear_down(b);
   free(b);
--- a/tests/test_lag.c
+++ b/tests/test_lag.c
@@ -37,37 +37,37 @@
 
 /* The clock for timeouts of peers advances by at most ITERATION_MS per iteration. */
 static void test_clock(void) {
-  pw_lag l = {.turn_ms = ITERATION_MS};
-  CHECK(pwlag_turn(&l, 1000) == 0);
-  CHECK(pwlag_turn(&l, 1000 + ITERATION_MS) == 0);
+  pw_lag l = {.iteration_max_ms = ITERATION_MS};
+  CHECK(pwlag_iteration(&l, 1000) == 0);
+  CHECK(pwlag_iteration(&l, 1000 + ITERATION_MS) == 0);
   CHECK(pwlag_clock(&l, 1060) == 1060);
-  CHECK(pwlag_turn(&l, 9050) == 8000 - ITERATION_MS);
+  CHECK(pwlag_iteration(&l, 9050) == 8000 - ITERATION_MS);
   CHECK(pwlag_clock(&l, 9050) == 1050 + ITERATION_MS);
   CHECK(pwlag_clock(&l, 9070) == 1070 + ITERATION_MS);
 }
 
 /* After a stall there is a limited time for reading the input that arrived during it. */
 static void test_catch_up(void) {
-  pw_lag l = {.turn_ms = ITERATION_MS};
-  pwlag_turn(&l, 1000);
+  pw_lag l = {.iteration_max_ms = ITERATION_MS};
+  pwlag_iteration(&l, 1000);
   CHECK(pwlag_catch_up(&l, 1000) == 0);
-  pwlag_turn(&l, 5000);
+  pwlag_iteration(&l, 5000);
   int64_t left = pwlag_catch_up(&l, 5000);
   CHECK(left > 0);
-  pwlag_turn(&l, 5010);
+  pwlag_iteration(&l, 5010);
   CHECK(pwlag_catch_up(&l, 5010) == left - 10);
   CHECK(pwlag_catch_up(&l, 5000 + left) == 0);
-  pwlag_turn(&l, 9000);
+  pwlag_iteration(&l, 9000);
   CHECK(pwlag_catch_up(&l, 9000) == left);
 }
 
 /* A loop that stalls all the time catches up for a part of the time only; else it would never give
 ** a peer up. */
 static void test_always_stalled(void) {
-  pw_lag l = {.turn_ms = ITERATION_MS};
+  pw_lag l = {.iteration_max_ms = ITERATION_MS};
   int catching = 0, turns = 0;
   for (int64_t now = 1000; now < 21000; now += 2 * ITERATION_MS, turns++) {
-    pwlag_turn(&l, now);
+    pwlag_iteration(&l, now);
     catching += pwlag_catch_up(&l, now) > 0;
   }
   CHECK(catching > 0 && catching < turns / 2);
@@ -107,8 +107,8 @@
   (void)ev;
   (void)events;
   fixture *b = w->data;
-  pwconns_check(&b->conns, pwclock_ms());
-  pwconns_sweep(&b->conns, pwclock_ms());
+  pwconns_close_stalled(&b->conns, pwclock_ms());
+  pwconns_close_expired(&b->conns, pwclock_ms());
 }
 
 static void iterate(fixture *b) {
@@ -125,10 +125,10 @@
   struct sockaddr_in at;
   *b = (fixture){.ev = ev_loop_new(0)};
   pwtcp_loop_init(&b->tcp, b->ev);
-  b->tcp.lag.turn_ms = ITERATION_MS;
+  b->tcp.lag.iteration_max_ms = ITERATION_MS;
   b->conns = (pw_conns){.tcp = &b->tcp,
                         .limits = {1000, 1000, LIMIT_MS, LIMIT_MS},
-                        .stall_whole_ms = LIMIT_MS,
+                        .stall_complete_ms = LIMIT_MS,
                         .arg = b,
                         .handle = handle};
   pwconns_start(&b->conns, test_listen(&at));
@@ -212,7 +212,7 @@
   fixture b;
   stall_seen o = {0};
   set_up(&b, read_first);
-  b.tcp.held_up = on_loop_stall;
+  b.tcp.on_stall = on_loop_stall;
   b.tcp.arg = &o;
   iterate_for(&b, 2 * ITERATION_MS);
   has_read = 0;
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -127,7 +127,7 @@
   }
   pwonce_expire(o, 1000, PW_ONCE_KEEP_MS);
   CHECK(pwonce_count(o) == n);
-  CHECK(pwonce_past(o) == 100);
+  CHECK(pwonce_past_count(o) == 100);
   for (uint32_t i = 0; i < n; i += 50)
     expect_claim(o, 1000, "b", key_of(i), "body", PW_OK, 1);
   expect_claim(o, 1000, "b", key_of(0), "other", PW_E_REUSED, 0);
@@ -144,7 +144,7 @@
   expect_claim(o, 1000, "a", "k", "body", PW_OK, 0);
   uint64_t wall = 1000 + PW_ONCE_OPEN_MS + 1;
   pwonce_expire(o, wall, PW_ONCE_KEEP_MS);
-  CHECK(pwonce_past(o) == 1);
+  CHECK(pwonce_past_count(o) == 1);
   expect_claim(o, wall, "b", "k", "body", PW_E_RUNNING, 0);
   record(o, "a", "k"); /* too late */
   expect_claim(o, wall, "a", "k", "body", PW_E_RUNNING, 0);
@@ -166,17 +166,17 @@
   pwonce_free(o);
 
   Pw__State full = PW__STATE__INIT;
-  full.past.len = (size_t)PW_ONCE_MAX * PWDEDUP_BYTES;
+  full.past.len = (size_t)PW_ONCE_MAX * PWDEDUP_ENTRY_BYTES;
   full.past.data = pw_alloc(full.past.len);
   for (uint32_t i = 0; i < PW_ONCE_MAX; i++) {
-    uint8_t *at = full.past.data + (size_t)i * PWDEDUP_BYTES;
+    uint8_t *at = full.past.data + (size_t)i * PWDEDUP_ENTRY_BYTES;
     uint32_t spread = i * 2654435761U;
     memcpy(at, &spread, sizeof spread);
-    at[PWDEDUP_KEY] = 100; /* seconds */
+    at[PWDEDUP_KEY_BYTES] = 100; /* seconds */
   }
   o = pwonce_new();
   CHECK(pwonce_load(o, &full) == PW_OK);
-  CHECK(pwonce_past(o) == PW_ONCE_MAX);
+  CHECK(pwonce_past_count(o) == PW_ONCE_MAX);
   expect_claim(o, 101000, "a", "k", "body", PW_E_LEDGER_FULL, 0);
   pwonce_expire(o, 101000 + PW_ONCE_KEEP_MS, PW_ONCE_KEEP_MS);
   expect_claim(o, 101000 + PW_ONCE_KEEP_MS, "a", "k", "body", PW_OK, 0);
@@ -191,7 +191,7 @@
 static void test_refuse_until(void) {
   pw_once *o = pwonce_new();
   expect_claim(o, 1000, "a", "k", "body", PW_OK, 0);
-  pwonce_hold(o, 5000);
+  pwonce_refuse_until(o, 5000);
   expect_claim(o, 4999, "a", "other", "body", PW_E_LEDGER_LOST, 0);
   expect_claim(o, 4999, "b", "k", "body", PW_E_RUNNING, 0);
   expect_claim(o, 5000, "a", "other", "body", PW_OK, 0);
@@ -212,7 +212,7 @@
   pwonce_pack(o, &s);
   CHECK(pwonce_load(copy, &s) == PW_OK);
   CHECK(pwonce_count(copy) == pwonce_count(o));
-  CHECK(pwonce_past(copy) == pwonce_past(o));
+  CHECK(pwonce_past_count(copy) == pwonce_past_count(o));
   for (uint32_t i = 0; i < PW_ONCE_ANSWERS + 10; i += 3) {
     Pw__Claimed *x = claim(o, 1000, "b", key_of(i), "body");
     Pw__Claimed *y = claim(copy, 1000, "b", key_of(i), "body");
@@ -237,7 +237,7 @@
 
 static int naive_find(const naive *l, const uint8_t *key) {
   for (int i = l->first; i < l->n; i++)
-    if (!memcmp(l->e[i].key, key, PWDEDUP_KEY))
+    if (!memcmp(l->e[i].key, key, PWDEDUP_KEY_BYTES))
       return i;
   return -1;
 }
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -27,27 +27,27 @@
 /* --- sequence numbers --- */
 
 static void test_sequence_numbers(void) {
-  pw_telling t = {0};
-  pwtelling_take(&t, 7, 0, 0, 1);
-  CHECK(t.is_whole && pwtelling_has(&t) == 0);
-  pwtelling_take(&t, 7, 1, 1, 0);
-  pwtelling_take(&t, 7, 2, 1, 0);
-  pwtelling_take(&t, 7, 2, 0, 0);
-  CHECK(pwtelling_has(&t) == 2);
-  pwtelling_take(&t, 7, 2, 1, 0); /* a duplicate */
-  CHECK(pwtelling_has(&t) == 2);
-  pwtelling_take(&t, 7, 4, 1, 0); /* 3 was lost */
-  CHECK(!t.is_whole && pwtelling_has(&t) == 0);
-  pwtelling_take(&t, 7, 2, 0, 1); /* a table from before the gap */
-  CHECK(!t.is_whole);
-  pwtelling_take(&t, 7, 3, 0, 1);
-  CHECK(pwtelling_has(&t) == 4);
-  pwtelling_take(&t, 7, 5, 0, 0); /* 5 was lost, and no update followed */
-  CHECK(!t.is_whole);
-  pwtelling_take(&t, 7, 5, 0, 1);
-  CHECK(pwtelling_has(&t) == 5);
-  pwtelling_take(&t, 8, 1, 1, 0); /* the sender has restarted */
-  CHECK(!t.is_whole);
+  pw_sequence t = {0};
+  pwsequence_receive(&t, 7, 0, 0, 1);
+  CHECK(t.is_complete && pwsequence_complete_to(&t) == 0);
+  pwsequence_receive(&t, 7, 1, 1, 0);
+  pwsequence_receive(&t, 7, 2, 1, 0);
+  pwsequence_receive(&t, 7, 2, 0, 0);
+  CHECK(pwsequence_complete_to(&t) == 2);
+  pwsequence_receive(&t, 7, 2, 1, 0); /* a duplicate */
+  CHECK(pwsequence_complete_to(&t) == 2);
+  pwsequence_receive(&t, 7, 4, 1, 0); /* 3 was lost */
+  CHECK(!t.is_complete && pwsequence_complete_to(&t) == 0);
+  pwsequence_receive(&t, 7, 2, 0, 1); /* a table from before the gap */
+  CHECK(!t.is_complete);
+  pwsequence_receive(&t, 7, 3, 0, 1);
+  CHECK(pwsequence_complete_to(&t) == 4);
+  pwsequence_receive(&t, 7, 5, 0, 0); /* 5 was lost, and no update followed */
+  CHECK(!t.is_complete);
+  pwsequence_receive(&t, 7, 5, 0, 1);
+  CHECK(pwsequence_complete_to(&t) == 5);
+  pwsequence_receive(&t, 8, 1, 1, 0); /* the sender has restarted */
+  CHECK(!t.is_complete);
 }
 
 /* --- who watches whom --- */
@@ -65,10 +65,10 @@
   pwmesh_group(&m, addr, MEMBERS, 1, 0);
   CHECK(m.n == MEMBERS - 1);
   CHECK(pwmesh_observers(&m) == 0);
-  CHECK(!pwmesh_is_heard(&m, 0));
+  CHECK(!pwmesh_is_watched(&m, 0));
   pw_mesh_peer *p = pwmesh_watched(&m, "tcp://10.0.0.99:1", 0, 0);
   CHECK(p && !p->is_member);
-  CHECK(pwmesh_watch_of(&m, p) == PWMESH_FOR_ALL);
+  CHECK(pwmesh_watch_of(&m, p) == PWMESH_TARGETS);
   CHECK(pwmesh_observers(&m) == 1);
   CHECK(!pwmesh_watched(&m, addr[0], 1, 0)); /* itself */
   pwmesh_group(&m, addr, MEMBERS, 1, PWMESH_FORGET_MS);
@@ -79,12 +79,12 @@
   pwmesh_init(&m, "tcp://10.0.0.99:1");
   pwmesh_group(&m, addr, MEMBERS, 0, 0);
   CHECK(m.n == MEMBERS);
-  CHECK(pwmesh_watch_of(&m, m.peer[0]) == PWMESH_FOR_LISTS);
+  CHECK(pwmesh_watch_of(&m, m.peer[0]) == PWMESH_MEMBERS);
   p = pwmesh_watched(&m, "tcp://10.0.0.98:1", 0, 0);
-  CHECK(pwmesh_watch_of(&m, p) == PWMESH_NOT);
+  CHECK(pwmesh_watch_of(&m, p) == PWMESH_NONE);
   pwmesh_watched(&m, addr[3], 1, 5);
-  CHECK(pwmesh_is_heard(&m, 5));
-  CHECK(!pwmesh_is_heard(&m, 5 + PWMESH_DEAF_MS));
+  CHECK(pwmesh_is_watched(&m, 5));
+  CHECK(!pwmesh_is_watched(&m, 5 + PWMESH_WATCH_TIMEOUT_MS));
   pwmesh_free(&m);
 }
 
@@ -115,7 +115,7 @@
     for (int k = 0; k < n; k++)
       pwmesh_watched(&m, addr[k], k < members, 0);
     for (int k = 0; k < m.n; k++)
-      sum += pwmesh_watch_of(&m, m.peer[k]) != PWMESH_NOT;
+      sum += pwmesh_watch_of(&m, m.peer[k]) != PWMESH_NONE;
     pwmesh_free(&m);
   }
   return sum;
@@ -140,7 +140,7 @@
   kind kind;
   int from, to;
   int64_t at; /* when it arrives, ms */
-  uint64_t life, number;
+  uint64_t incarnation, number;
   int has_update;
   uint64_t update[TARGETS]; /* version of each target's leave; 0: none */
   int for_all;
@@ -150,7 +150,7 @@
 typedef struct instance {
   pw_mesh mesh;
   int is_up, watches[INSTANCES]; /* who watches it for all */
-  uint64_t life, number;
+  uint64_t incarnation, number;
   uint64_t known[TARGETS];
   uint64_t outbox[TARGETS];
   uint64_t sent[UPDATES_MAX][2]; /* target and version of each update sent */
@@ -170,7 +170,7 @@
   uint64_t acked[TARGETS];
   struct {
     int at, target;
-    uint64_t version, number, life;
+    uint64_t version, number, incarnation;
   } waiting[TARGETS];
   int nwaiting;
   uint64_t version;
@@ -189,7 +189,7 @@
     pwmesh_free(&one->mesh);
   memset(one, 0, sizeof *one);
   pwmesh_init(&one->mesh, m->addr[i]);
-  one->life = pwrand(&m->r) | 1;
+  one->incarnation = pwrand(&m->r) | 1;
   one->is_up = 1;
   pwmesh_group(&one->mesh, m->addr, members_of(m), i < members_of(m), m->now);
 }
@@ -215,8 +215,11 @@
 
 static message from(const model *m, int i, int to, kind k) {
   const instance *one = &m->i[i];
-  return (message){
-      .kind = k, .from = i, .to = to, .life = one->life, .number = one->number};
+  return (message){.kind = k,
+                   .from = i,
+                   .to = to,
+                   .incarnation = one->incarnation,
+                   .number = one->number};
 }
 
 static int has_outbox(const instance *one) {
@@ -251,8 +254,8 @@
 static void watch(model *m, int i, pw_mesh_peer *p, int for_all) {
   message msg = from(m, i, index_of(m, p->addr), WATCH);
   msg.for_all = for_all;
-  msg.holds = pwtelling_has(&p->told);
-  msg.holds_of = p->told.life;
+  msg.holds = pwsequence_complete_to(&p->received);
+  msg.holds_of = p->received.incarnation;
   p->asked_at = m->now;
   send(m, &msg);
 }
@@ -263,14 +266,14 @@
     pw_mesh_peer *p = one->mesh.peer[k];
     int other = index_of(m, p->addr);
     pw_mesh_watch how = pwmesh_watch_of(&one->mesh, p);
-    if (how == PWMESH_NOT || m->now - p->asked_at < WATCH_MS)
+    if (how == PWMESH_NONE || m->now - p->asked_at < WATCH_MS)
       continue;
-    if (how == PWMESH_FOR_ALL && !p->told.is_whole &&
+    if (how == PWMESH_TARGETS && !p->received.is_complete &&
         m->now - one->asked_all_at[other] >= ASK_ALL_MS) {
       one->asked_all_at[other] = m->now;
       watch(m, i, p, 0);
     }
-    watch(m, i, p, how == PWMESH_FOR_ALL);
+    watch(m, i, p, how == PWMESH_TARGETS);
   }
 }
 
@@ -279,7 +282,8 @@
 static void check_holds(model *m, const message *w) {
   const instance *sender = &m->i[w->from];
   const instance *owner = &m->i[w->to];
-  if (w->holds_of != owner->life || sender->life != w->life)
+  if (w->holds_of != owner->incarnation ||
+      sender->incarnation != w->incarnation)
     return;
   for (int i = 0; i < owner->nsent; i++)
     if (owner->sent_number[i] <= w->holds)
@@ -301,12 +305,12 @@
     pw_mesh_peer *p = one->mesh.peer[k];
     if (strcmp(p->addr, m->addr[msg->from]) != 0)
       continue;
-    if (pwmesh_watch_of(&one->mesh, p) != PWMESH_FOR_ALL)
+    if (pwmesh_watch_of(&one->mesh, p) != PWMESH_TARGETS)
       return;
     for (int t = 0; t < TARGETS; t++)
       learn(m, msg->to, t, msg->update[t]);
-    pwtelling_take(&p->told, msg->life, msg->number, msg->has_update,
-                   msg->kind == TABLE);
+    pwsequence_receive(&p->received, msg->incarnation, msg->number,
+                       msg->has_update, msg->kind == TABLE);
   }
 }
 
@@ -315,7 +319,7 @@
   pw_mesh_peer *p =
       pwmesh_watched(&one->mesh, m->addr[msg->from], msg->for_all, m->now);
   check_holds(m, msg);
-  if (msg->holds_of == one->life)
+  if (msg->holds_of == one->incarnation)
     p->holds = msg->holds;
   int begins = msg->for_all && !one->watches[msg->from];
   one->watches[msg->from] = msg->for_all;
@@ -351,22 +355,22 @@
   instance *one = &m->i[i];
   if (!one->is_up || m->nwaiting == TARGETS)
     return;
-  if (i >= members_of(m) && !pwmesh_is_heard(&one->mesh, m->now))
+  if (i >= members_of(m) && !pwmesh_is_watched(&one->mesh, m->now))
     return; /* the target tries another instance */
   one->known[t] = one->outbox[t] = ++m->version;
   m->waiting[m->nwaiting].at = i;
   m->waiting[m->nwaiting].target = t;
   m->waiting[m->nwaiting].version = m->version;
   m->waiting[m->nwaiting].number = one->number + 1;
-  m->waiting[m->nwaiting++].life = one->life;
+  m->waiting[m->nwaiting++].incarnation = one->incarnation;
 }
 
 static void acknowledge(model *m) {
   for (int k = 0; k < m->nwaiting;) {
     int i = m->waiting[k].at;
-    int is_over = m->waiting[k].life != m->i[i].life;
-    int is_held =
-        !is_over && pwmesh_held(&m->i[i].mesh) >= m->waiting[k].number;
+    int is_over = m->waiting[k].incarnation != m->i[i].incarnation;
+    int is_held = !is_over &&
+                  pwmesh_replicated_seq(&m->i[i].mesh) >= m->waiting[k].number;
     if (!is_over && !is_held) {
       k++;
       continue;
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -3,45 +3,45 @@
 #include "pwtest.h"
 
 #include "pwbuf.h"
-#include "pwplaces.h"
-#include "pwsurge.h"
-#include "pwusual.h"
+#include "pwshed.h"
+#include "pwspike.h"
+#include "pwtimeouts.h"
 
 /* The reserve of an urgency class follows how many of its requests get no slot:
 ** none while all get one, more while too many do not, at most a tenth, and only
 ** less urgent classes leave it. */
 static void test_reserve(void) {
-  pw_places p;
-  pwplaces_init(&p, 0);
+  pw_shed p;
+  pwshed_init(&p, 0);
   for (int i = 0; i < 1000; i++)
-    pwplaces_asked(&p, 0, 0, 1, i);
-  CHECK(pwplaces_reserve(&p, 2, 0) == 0 && pwplaces_share(&p) == 1);
+    pwshed_note(&p, 0, 0, 1, i);
+  CHECK(pwshed_reserve(&p, 2, 0) == 0 && pwshed_admitted_share(&p) == 1);
   for (int i = 0; i < 1000; i++) /* one in twenty gets none */
-    pwplaces_asked(&p, 0, 0, i % 20 != 0, 1000 + i);
-  double kept = pwplaces_reserve(&p, 1, 0);
+    pwshed_note(&p, 0, 0, i % 20 != 0, 1000 + i);
+  double kept = pwshed_reserve(&p, 1, 0);
   CHECK(kept > 0 && kept <= 0.1);
-  CHECK(pwplaces_reserve(&p, 0, 0) == 0 && pwplaces_reserve(&p, 2, 0) == kept);
+  CHECK(pwshed_reserve(&p, 0, 0) == 0 && pwshed_reserve(&p, 2, 0) == kept);
   for (int i = 0; i < 1000; i++)
-    pwplaces_asked(&p, 1, 0, i % 8 != 0, 2000 + i);
-  CHECK(pwplaces_reserve(&p, 1, 0) == kept);
-  CHECK(pwplaces_reserve(&p, 2, 0) > kept && pwplaces_reserve(&p, 2, 0) <= 0.2);
+    pwshed_note(&p, 1, 0, i % 8 != 0, 2000 + i);
+  CHECK(pwshed_reserve(&p, 1, 0) == kept);
+  CHECK(pwshed_reserve(&p, 2, 0) > kept && pwshed_reserve(&p, 2, 0) <= 0.2);
   for (int i = 0; i < 10000; i++)
-    pwplaces_asked(&p, 0, 0, 1, 3000 + i);
-  CHECK(pwplaces_reserve(&p, 1, 0) == 0);
+    pwshed_note(&p, 0, 0, 1, 3000 + i);
+  CHECK(pwshed_reserve(&p, 1, 0) == 0);
 }
 
 /* Requests that go last leave the reserve of their own class to the others, and
 ** their refusals do not raise it. */
 static void test_last(void) {
-  pw_places p;
-  pwplaces_init(&p, 0);
+  pw_shed p;
+  pwshed_init(&p, 0);
   for (int i = 0; i < 100; i++)
-    pwplaces_asked(&p, 1, 1, i % 2, i);
-  CHECK(pwplaces_reserve(&p, 1, 1) == 0);
+    pwshed_note(&p, 1, 1, i % 2, i);
+  CHECK(pwshed_reserve(&p, 1, 1) == 0);
   for (int i = 0; i < 100; i++)
-    pwplaces_asked(&p, 1, 0, i % 2, 100 + i);
-  CHECK(pwplaces_reserve(&p, 1, 0) == 0 && pwplaces_reserve(&p, 1, 1) > 0);
-  CHECK(pwplaces_reserve(&p, 2, 0) == pwplaces_reserve(&p, 1, 1));
+    pwshed_note(&p, 1, 0, i % 2, 100 + i);
+  CHECK(pwshed_reserve(&p, 1, 0) == 0 && pwshed_reserve(&p, 1, 1) > 0);
+  CHECK(pwshed_reserve(&p, 2, 0) == pwshed_reserve(&p, 1, 1));
 }
 
 /* Slots become free one at a time while three times as many requests arrive:
@@ -51,15 +51,15 @@
 static void play_shares(double urgent_share, uint64_t seed) {
   enum { CLASSES = 3, STEPS = 60000, SLOTS = 48 };
   pw_random r = {seed, 0};
-  pw_places p;
+  pw_shed p;
   double asked[CLASSES] = {0}, got[CLASSES] = {0}, load = 0;
-  pwplaces_init(&p, 0);
+  pwshed_init(&p, 0);
   for (int now = 0; now < STEPS; now++) {
     double who = pwrand_unit(&r);
     int urgency = who < urgent_share ? 0 : 1 + (int)pwrand_below(&r, 2);
-    double reserve = pwplaces_reserve(&p, urgency, 0);
+    double reserve = pwshed_reserve(&p, urgency, 0);
     int has = load < (int)(SLOTS * (1 - reserve));
-    pwplaces_asked(&p, urgency, 0, has, now);
+    pwshed_note(&p, urgency, 0, has, now);
     asked[urgency]++;
     got[urgency] += has;
     load += has;
@@ -86,25 +86,25 @@
 ** wait. */
 static void test_retry(void) {
   for (int i = 0; i < 10; i++) {
-    int64_t ms = pwplaces_retry(9000, 0, i / 10.0);
+    int64_t ms = pwshed_retry_ms(9000, 0, i / 10.0);
     CHECK(ms >= 100 && ms <= 3000);
   }
-  CHECK(pwplaces_retry(9000, 0, 0.1) < pwplaces_retry(9000, 0, 0.9));
-  CHECK(pwplaces_retry(0, 0, 0.5) > 0 && pwplaces_retry(-10, 0, 0.5) > 0);
+  CHECK(pwshed_retry_ms(9000, 0, 0.1) < pwshed_retry_ms(9000, 0, 0.9));
+  CHECK(pwshed_retry_ms(0, 0, 0.5) > 0 && pwshed_retry_ms(-10, 0, 0.5) > 0);
   /* from 1200 ms on it is recognized as a retry */
   for (int i = 0; i < 10; i++) {
-    int64_t ms = pwplaces_retry(9000, 1200, i / 10.0);
+    int64_t ms = pwshed_retry_ms(9000, 1200, i / 10.0);
     CHECK(ms >= 1200 && ms <= 3000);
   }
-  CHECK(pwplaces_retry(900, 1200, 0.5) == 300); /* it would not retry later */
+  CHECK(pwshed_retry_ms(900, 1200, 0.5) == 300); /* it would not retry later */
 }
 
 /* The baseline timeout is that of most first attempts, though as many retries
 ** have whatever time is left, and some requests have longer timeouts. */
 static void test_baseline_timeout(void) {
   pw_random r = {test_seed(8), 0};
-  pw_usual u = {.all = {.total = 0}};
-  CHECK(pwusual_ms(&u) == 0);
+  pw_timeouts u = {.all = {.total = 0}};
+  CHECK(pwtimeouts_baseline(&u) == 0);
   for (int i = 0; i < 20000; i++) {
     double kind = pwrand_unit(&r);
     int64_t ms = 9990 + (int64_t)pwrand_below(&r, 11);
@@ -112,15 +112,16 @@
       ms = 4000 + (int64_t)pwrand_below(&r, 5500);
     else if (kind < 0.64)
       ms = 30000;
-    pwusual_note(&u, ms, 0);
+    pwtimeouts_note(&u, ms, 0);
     if (i > 200)
-      CHECK(pwusual_ms(&u) >= 9600 && pwusual_ms(&u) <= 10000);
+      CHECK(pwtimeouts_baseline(&u) >= 9600 &&
+            pwtimeouts_baseline(&u) <= 10000);
   }
   for (int i = 0; i < 2000; i++) /* the callers change their timeout */
-    pwusual_note(&u, 600, 0);
-  CHECK(pwusual_ms(&u) >= 570 && pwusual_ms(&u) <= 600);
-  pwusual_note(&u, 0, 1);
-  pwusual_note(&u, -5, 1);
+    pwtimeouts_note(&u, 600, 0);
+  CHECK(pwtimeouts_baseline(&u) >= 570 && pwtimeouts_baseline(&u) <= 600);
+  pwtimeouts_note(&u, 0, 1);
+  pwtimeouts_note(&u, -5, 1);
 }
 
 /* It guards against taking callers with short timeouts for retries: timeouts
@@ -131,17 +132,17 @@
 static void play_timeouts(double spread, int unloaded, uint64_t seed) {
   enum { GOAL = 400, LONGEST = 8000, ASKED = 20000 };
   pw_random r = {seed, 0};
-  pw_usual u = {.all = {.total = 0}};
+  pw_timeouts u = {.all = {.total = 0}};
   double firsts = 0, firsts_wrong = 0, naive_wrong = 0, retries = 0,
          retries_wrong = 0;
   for (int i = 0; i < ASKED; i++) {
     int is_unloaded = i < unloaded;
     double most = LONGEST * (1 - spread * pwrand_unit(&r));
     int64_t late = GOAL / 4;
-    pwusual_note(&u, (int64_t)most, is_unloaded);
-    int64_t least = pwusual_ms(&u) - pwusual_shortest(&u) + late;
-    int is_taken_for_retry = most + late < pwusual_shortest(&u);
-    int is_naive = most + late < pwusual_ms(&u);
+    pwtimeouts_note(&u, (int64_t)most, is_unloaded);
+    int64_t least = pwtimeouts_baseline(&u) - pwtimeouts_shortest(&u) + late;
+    int is_taken_for_retry = most + late < pwtimeouts_shortest(&u);
+    int is_naive = most + late < pwtimeouts_baseline(&u);
     if (!is_unloaded) {
       firsts++;
       firsts_wrong += is_taken_for_retry;
@@ -149,13 +150,13 @@
     }
     if (pwrand_unit(&r) > (is_unloaded ? 0.01 : 0.4))
       continue;
-    int64_t after = pwplaces_retry((int64_t)most, least, pwrand_unit(&r));
+    int64_t after = pwshed_retry_ms((int64_t)most, least, pwrand_unit(&r));
     int64_t left = (int64_t)most - after;
-    pwusual_note(&u, left, is_unloaded);
+    pwtimeouts_note(&u, left, is_unloaded);
     if (is_unloaded)
       continue;
     retries++;
-    retries_wrong += left + late >= pwusual_shortest(&u);
+    retries_wrong += left + late >= pwtimeouts_shortest(&u);
   }
   printf(
       "spread %.2f, %d requests before: of 100 first attempts %.1f taken for "
@@ -182,38 +183,38 @@
 ** share: a slot given to a retry is taken from a caller who then retries
 ** itself. */
 static void test_last_of_starved_class(void) {
-  pw_places p;
-  pwplaces_init(&p, 0);
+  pw_shed p;
+  pwshed_init(&p, 0);
   for (int i = 0; i < 400; i++) {
-    pwplaces_asked(&p, 0, 0, i % 10 != 0, i);
-    pwplaces_asked(&p, 2, 0, 0, i); /* gets no slot */
+    pwshed_note(&p, 0, 0, i % 10 != 0, i);
+    pwshed_note(&p, 2, 0, 0, i); /* gets no slot */
   }
-  CHECK(pwplaces_reserve(&p, 2, 0) == 0);
-  CHECK(pwplaces_reserve(&p, 2, 1) >= 0.1);
+  CHECK(pwshed_reserve(&p, 2, 0) == 0);
+  CHECK(pwshed_reserve(&p, 2, 1) >= 0.1);
 }
 
 /* Retries get a slot while all first attempts do, and none when one in ten of
 ** those does not. */
 static void test_may_retry(void) {
-  pw_places p;
-  pwplaces_init(&p, 0);
-  CHECK(pwplaces_may_return(&p, 0));
+  pw_shed p;
+  pwshed_init(&p, 0);
+  CHECK(pwshed_may_retry(&p, 0));
   for (int i = 0; i < 200; i++)
-    pwplaces_asked(&p, 2, 0, 1, i);
-  CHECK(pwplaces_may_return(&p, 0));
+    pwshed_note(&p, 2, 0, 1, i);
+  CHECK(pwshed_may_retry(&p, 0));
   /* refused retries do not count as refused first attempts */
   for (int i = 0; i < 200; i++)
-    pwplaces_asked(&p, 2, 1, 0, 200 + i);
-  CHECK(pwplaces_may_return(&p, 0));
+    pwshed_note(&p, 2, 1, 0, 200 + i);
+  CHECK(pwshed_may_retry(&p, 0));
   for (int i = 0; i < 12; i++)
-    pwplaces_asked(&p, 2, 0, 0, 400 + i); /* one in eighteen */
-  CHECK(!pwplaces_may_return(&p, 0.3) && pwplaces_may_return(&p, 0.8));
+    pwshed_note(&p, 2, 0, 0, 400 + i); /* one in eighteen */
+  CHECK(!pwshed_may_retry(&p, 0.3) && pwshed_may_retry(&p, 0.8));
   for (int i = 0; i < 40; i++)
-    pwplaces_asked(&p, 2, 0, 0, 500 + i);
-  CHECK(!pwplaces_may_return(&p, 0.99));
+    pwshed_note(&p, 2, 0, 0, 500 + i);
+  CHECK(!pwshed_may_retry(&p, 0.99));
   for (int i = 0; i < 400; i++)
-    pwplaces_asked(&p, 2, 0, 1, 20000 + i);
-  CHECK(pwplaces_may_return(&p, 0.01));
+    pwshed_note(&p, 2, 0, 1, 20000 + i);
+  CHECK(pwshed_may_retry(&p, 0.01));
 }
 
 /* A workspace that sends many times its baseline spikes, down to about twice
@@ -224,7 +225,7 @@
   static const char *const names[NAMES] = {"large", "b", "c", "d", "e", "f"};
   static const double baseline[NAMES] = {0.5, 0.1, 0.1, 0.1, 0.1, 0.1};
   pw_random r = {test_seed(9), 0};
-  pw_surge *s = pwsurge_new(0);
+  pw_spike *s = pwspike_new(0);
   double most_baseline = 0, most_raised = 0, surplus_b = 0, surplus_others = 0;
   int asked_b = 0;
   int64_t now = 0;
@@ -242,7 +243,7 @@
       if (at < 0)
         break;
     }
-    double surplus = pwsurge_note(s, names[who], now);
+    double surplus = pwspike_note(s, names[who], now);
     if (!raised && surplus > most_baseline)
       most_baseline = surplus;
     if (raised && !spiking && step < CALM + RUSH && surplus > most_raised)
@@ -257,7 +258,7 @@
       most_baseline, most_raised, surplus_b / asked_b);
   CHECK(most_baseline == 0 && most_raised < 0.2);
   CHECK(surplus_b / asked_b > 0.7 && surplus_others == 0);
-  pwsurge_free(s);
+  pwspike_free(s);
 }
 
 int main(void) {
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -37,7 +37,7 @@
     pw_place *p = pwplace_build(t, n, NULL);
     for (int i = 0; i < 300; i++) {
       uint64_t key = pwrand(&r);
-      for (int rank = 0; rank < PW_RANKS; rank++)
+      for (int rank = 0; rank < PW_PLACEMENT_RANKS; rank++)
         CHECK(pwplace_rank(p, key, rank) == pwplace_naive(t, n, key, rank));
     }
     pwplace_free(p);
@@ -71,7 +71,7 @@
       uint64_t is = pwplace_rank(q, key, 0);
       moved += was != is;
       CHECK(was == is || was == changed || is == changed);
-      for (int rank = 0; rank < PW_RANKS; rank++)
+      for (int rank = 0; rank < PW_PLACEMENT_RANKS; rank++)
         CHECK(pwplace_rank(q, key, rank) == pwplace_rank(fresh, key, rank));
     }
     CHECK(moved < 5000 / n * 2);
@@ -86,9 +86,9 @@
   pw_place_target t[3] = {{11, 1}, {22, 2}, {33, 1}};
   pw_place *p = pwplace_build(t, 3, NULL);
   int heavy = 0;
-  for (uint64_t key = 0; key < PW_SLOTS; key++)
+  for (uint64_t key = 0; key < PW_PLACEMENT_SLOTS; key++)
     heavy += pwplace_rank(p, key, 0) == 22;
-  CHECK(fabs((double)heavy / PW_SLOTS - 0.5) < 0.01);
+  CHECK(fabs((double)heavy / PW_PLACEMENT_SLOTS - 0.5) < 0.01);
   pwplace_free(p);
 }
 
@@ -143,13 +143,13 @@
     return;
   double own = pwload_now(&g->a.load, s->now);
   double mean = true_mean(s);
-  pw_admit_ask request = {.workspace = "w",
-                          .weight = 1,
-                          .cost =
-                              10 + (double)pwrand_below(&s->r, s->most_cost),
-                          .deadline = s->now + 1,
-                          .may_queue = pwrand_below(&s->r, 2) == 0};
-  pw_admit_answer ans = pwadmit_ask(&g->a, &request, &g->view, s->now);
+  pw_admit_request request = {.workspace = "w",
+                              .weight = 1,
+                              .cost = 10 +
+                                      (double)pwrand_below(&s->r, s->most_cost),
+                              .deadline = s->now + 1,
+                              .may_queue = pwrand_below(&s->r, 2) == 0};
+  pw_admit_answer ans = pwadmit_decide(&g->a, &request, &g->view, s->now);
   if (ans.verdict != PW_ADMIT_START) {
     s->held++;
     return;
@@ -521,14 +521,14 @@
   uint64_t home = pwplace_rank(p, 5, 0);
   pw_route_pick pick = pwroute_next(&pool, &w);
   CHECK(pick.id == home && pick.need_prefix);
-  pwroute_refused(&w, home, PW_REFUSED_MISSED, 0, 0);
+  pwroute_refused(&w, home, PW_REFUSED_PREFIX_MISS, 0, 0);
   w.pointer = 3007; /* home knows who has the prefix */
   pick = pwroute_next(&pool, &w);
   CHECK(pick.id == 3007 && pick.need_prefix);
-  pwroute_refused(&w, 3007, PW_REFUSED_MISSED, 0, 0);
+  pwroute_refused(&w, 3007, PW_REFUSED_PREFIX_MISS, 0, 0);
   pick = pwroute_next(&pool, &w);
   CHECK(pick.id == pwplace_rank(p, 5, 1) && pick.need_prefix);
-  pwroute_refused(&w, pick.id, PW_REFUSED_MISSED, 0, 0);
+  pwroute_refused(&w, pick.id, PW_REFUSED_PREFIX_MISS, 0, 0);
   pick = pwroute_next(&pool, &w); /* no target has it: home computes it */
   CHECK(pick.id == home && !pick.need_prefix);
   pwplace_free(p);
@@ -572,7 +572,7 @@
   CHECK(!pwroute_next(&pool, &w).may_queue); /* other targets are left to try */
   uint64_t home = pwplace_rank(p, 5, 0);
   for (int i = 0; i < 10; i++)
-    f.t[i].aside = f.t[i].id != home;
+    f.t[i].ejected = f.t[i].id != home;
   pw_route_pick pick = pwroute_next(&pool, &w);
   CHECK(pick.id == home && pick.may_queue);
   pwroute_refused(&w, home, PW_REFUSED_OTHER, 0, 0);
@@ -601,15 +601,15 @@
   pw_place *p = make_pool(&f, &pool, 10);
   pw_route_walk w = {.key = 5, .draw = 9, .cost = 10};
   uint64_t home = pwplace_rank(p, 5, 0);
-  route_of(&f, home)->aside = 1;
+  route_of(&f, home)->ejected = 1;
   CHECK(pwroute_next(&pool, &w).id == pwplace_rank(p, 5, 1));
   for (int i = 0; i < 10; i++)
-    f.t[i].aside = 1;
+    f.t[i].ejected = 1;
   CHECK(pwroute_next(&pool, &w).id != 0);
   /* A target that has just joined is asked for a prefix, and for nothing else. */
   route_of(&f, home)->joining = 1;
   for (int i = 0; i < 10; i++)
-    f.t[i].aside = f.t[i].id == home;
+    f.t[i].ejected = f.t[i].id == home;
   w = (pw_route_walk){.key = 5, .draw = 9, .cost = 10, .returning = 1};
   pw_route_pick pick = pwroute_next(&pool, &w);
   CHECK(pick.id == home && pick.need_prefix);
@@ -666,21 +666,21 @@
   pwadmit_init(&a, 2, 4, 1000, 0);
   a.bound.floor = 100000;
   int job;
-  pw_admit_ask request = {.workspace = "w",
-                          .weight = 1,
-                          .cost = 100,
-                          .deadline = 60000,
-                          .job = &job};
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
-  pw_admit_answer ans = pwadmit_ask(&a, &request, &pool, 0);
+  pw_admit_request request = {.workspace = "w",
+                              .weight = 1,
+                              .cost = 100,
+                              .deadline = 60000,
+                              .job = &job};
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
+  pw_admit_answer ans = pwadmit_decide(&a, &request, &pool, 0);
   CHECK(ans.verdict == PW_ADMIT_REFUSED && ans.code == PW_E_BUSY);
   CHECK(ans.wait > 0);
   request.may_queue = 1;
   request.deadline = 1; /* cannot be met: refused now, not when it is over */
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).code == PW_E_DEADLINE);
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).code == PW_E_DEADLINE);
   request.deadline = 60000;
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_QUEUED);
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_QUEUED);
   pwadmit_end(&a, 100, 10);
   pwadmit_free(&a);
 }
@@ -699,22 +699,22 @@
   pwadmit_init(&a, 2, 4, 1000, 0);
   a.bound.floor = 100000;
   int job;
-  pw_admit_ask request = {.workspace = "w",
-                          .weight = 1,
-                          .cost = 100,
-                          .recompute = 1000,
-                          .deadline = 60000,
-                          .job = &job};
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
+  pw_admit_request request = {.workspace = "w",
+                              .weight = 1,
+                              .cost = 100,
+                              .recompute = 1000,
+                              .deadline = 60000,
+                              .job = &job};
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
   CHECK(pwholdoff_asked(&a.hold_off, 90000, 0));
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).code == PW_E_DEADLINE);
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).code == PW_E_DEADLINE);
   request.deadline = 100000;
   request.recompute = 0;
-  pw_admit_answer ans = pwadmit_ask(&a, &request, &pool, 10);
+  pw_admit_answer ans = pwadmit_decide(&a, &request, &pool, 10);
   CHECK(ans.verdict == PW_ADMIT_REFUSED && ans.code == PW_E_BUSY);
   CHECK(ans.wait == 89990);
   request.may_queue = 1;
-  CHECK(pwadmit_ask(&a, &request, &pool, 10).verdict == PW_ADMIT_QUEUED);
+  CHECK(pwadmit_decide(&a, &request, &pool, 10).verdict == PW_ADMIT_QUEUED);
   pwadmit_end(&a, 100, 20);
   CHECK(!pwadmit_next(&a, one_pool, &pool, 89999));
   CHECK(pwadmit_next(&a, one_pool, &pool, 90000) == &job);
@@ -726,9 +726,10 @@
 static void test_move(void) {
   pw_move m;
   pwmove_init(&m, 0);
-  CHECK(pwmove_share(&m) == 1 && !pwmove_takes(&m, 10000));
+  CHECK(pwmove_share(&m) == 1 && !pwmove_should_import(&m, 10000));
   pwmove_init(&m, 1);
-  CHECK(pwmove_takes(&m, 1000) && !pwmove_takes(&m, 10)); /* not tried yet */
+  CHECK(pwmove_should_import(&m, 1000) &&
+        !pwmove_should_import(&m, 10)); /* not tried yet */
   pwmove_computed(&m, 1000, 100);
   pwmove_imported(&m, 1000, 1000, 25);
   CHECK(fabs(pwmove_share(&m) - 0.25) < 1e-9);
@@ -738,11 +739,11 @@
   CHECK(pwmove_share(&m) == 1);
   int tries = 0;
   for (int i = 0; i < 10 * PWMOVE_TRY_EVERY; i++)
-    tries += pwmove_takes(&m, 1000);
+    tries += pwmove_should_import(&m, 1000);
   CHECK(tries == 10); /* tried again now and then */
   for (int i = 0; i < 40; i++)
     pwmove_imported(&m, 1000, 1000, 10);
-  CHECK(pwmove_takes(&m, 1000) && pwmove_share(&m) < 0.2);
+  CHECK(pwmove_should_import(&m, 1000) && pwmove_share(&m) < 0.2);
 }
 
 /* A request waits at most as long as the cached prefix is worth, by `reuse`. */
@@ -751,37 +752,37 @@
   pw_pool_sum pool = {.targets = 1};
   int jobs[2];
   pwadmit_init(&a, 1, 8, 1000, 0);
-  pw_admit_ask request = {.workspace = "w",
-                          .weight = 1,
-                          .cost = 1000,
-                          .recompute = 1000,
-                          .deadline = 60000,
-                          .job = &jobs[0]};
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
+  pw_admit_request request = {.workspace = "w",
+                              .weight = 1,
+                              .cost = 1000,
+                              .recompute = 1000,
+                              .deadline = 60000,
+                              .job = &jobs[0]};
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_START);
   request.job = &jobs[1]; /* wait: half a request, 500 ms */
   a.reuse = 2;            /* worth: 0.2 * 1000 / 1000 s * 2 = 400 ms */
-  pw_admit_answer ans = pwadmit_ask(&a, &request, &pool, 0);
+  pw_admit_answer ans = pwadmit_decide(&a, &request, &pool, 0);
   CHECK(ans.verdict == PW_ADMIT_REFUSED && ans.wait == 500 && ans.worth == 400);
   a.reuse = 3;
-  CHECK(pwadmit_ask(&a, &request, &pool, 0).verdict == PW_ADMIT_QUEUED);
+  CHECK(pwadmit_decide(&a, &request, &pool, 0).verdict == PW_ADMIT_QUEUED);
   pwadmit_free(&a);
 }
 
 /* --- rollouts --- */
 
-static pw_rollout_ask rollout_input(const char *wanted, uint64_t asked) {
-  return (pw_rollout_ask){.wanted = wanted,
-                          .asked = asked,
-                          .step = {10, 50},
-                          .nsteps = 2,
-                          .max_errors = 0.1,
-                          .step_ms = 1000,
-                          .min_requests = 20,
-                          .done_from = 1000};
+static pw_rollout_input rollout_input(const char *wanted, uint64_t asked) {
+  return (pw_rollout_input){.wanted = wanted,
+                            .asked = asked,
+                            .step = {10, 50},
+                            .nsteps = 2,
+                            .max_errors = 0.1,
+                            .step_ms = 1000,
+                            .min_requests = 20,
+                            .done_from = 1000};
 }
 
 /* Applies decisions until nothing changes; returns the number of changes. */
-static int roll_on(pw_rollout *r, const pw_rollout_ask *in) {
+static int roll_on(pw_rollout *r, const pw_rollout_input *in) {
   pw_rollout next;
   int n = 0;
   while (pwrollout_next(r, in, &next) && n < 20) {
@@ -793,7 +794,7 @@
 
 static void test_rollout_steps(void) {
   pw_rollout r = {.share = 100, .state = PW_ROLLOUT_DONE};
-  pw_rollout_ask in = rollout_input("v1", 1);
+  pw_rollout_input in = rollout_input("v1", 1);
   in.is_new = 1;
   CHECK(roll_on(&r, &in) == 1 && r.state == PW_ROLLOUT_DONE);
   in = rollout_input("v2", 2);
@@ -811,7 +812,7 @@
   in.in_step = 0;
   CHECK(roll_on(&r, &in) == 1 && r.share == 50);
   in.done_to = 0; /* an idle model advances, except in the last step */
-  in.in_step = PWROLLOUT_PATIENCE * in.step_ms;
+  in.in_step = PWROLLOUT_IDLE_FACTOR * in.step_ms;
   CHECK(roll_on(&r, &in) == 2 && r.share == 100);
   CHECK(r.state == PW_ROLLOUT_ROLLING);
   in.done_to = 20;
@@ -824,7 +825,7 @@
                       .share = 10,
                       .state = PW_ROLLOUT_ROLLING,
                       .asked = 2};
-  pw_rollout_ask in = rollout_input("v2", 2);
+  pw_rollout_input in = rollout_input("v2", 2);
   pw_rollout r = start;
   in.ready = 100;
   in.in_step = 100 * in.step_ms;
@@ -837,7 +838,8 @@
   CHECK(pwrollout_next(&r, &in, &r) == 1 && r.state == PW_ROLLOUT_ROLLING);
   r = start;
   in.failed_from = 0;
-  CHECK(roll_on(&r, &in) == 1 && r.state == PW_ROLLOUT_BACK && r.share == 0);
+  CHECK(roll_on(&r, &in) == 1 && r.state == PW_ROLLOUT_ROLLED_BACK &&
+        r.share == 0);
   CHECK(r.why == PW_ROLLOUT_WHY_ERRORS);
   CHECK(roll_on(&r, &in) == 0); /* not tried again */
   in = rollout_input("v2", 3);
@@ -854,7 +856,7 @@
                   .share = 50,
                   .state = PW_ROLLOUT_ROLLING,
                   .asked = 2};
-  pw_rollout_ask in = rollout_input("v3", 3);
+  pw_rollout_input in = rollout_input("v3", 3);
   CHECK(roll_on(&r, &in) == 1 && !strcmp(r.from, "v1") && r.share == 0);
   in = rollout_input("v1", 4);
   CHECK(roll_on(&r, &in) == 1 && r.state == PW_ROLLOUT_DONE);
@@ -900,14 +902,14 @@
   pw_plan_slot *s = &f->s[step->slot];
   s->has_serve = step->kind == PW_PLAN_SERVE;
   if (s->has_serve) {
-    CHECK(s->acted && s->loaded);
+    CHECK(s->load_ended && s->loaded);
     pw_copy(s->serve, sizeof s->serve, s->load);
   }
   if (step->kind == PW_PLAN_RETIRE)
     s->has_load = 0;
   if (step->kind == PW_PLAN_LOAD) {
     s->has_load = 1;
-    s->acted = 0;
+    s->load_ended = 0;
     s->loaded = 0;
     pw_copy(s->load, sizeof s->load, step->version);
   }
@@ -918,12 +920,12 @@
 static void plan_agents(plan_fleet *f, int trouble, int64_t now) {
   for (int i = 0; i < PLAN_SLOTS; i++) {
     pw_plan_slot *s = &f->s[i];
-    if (s->has_load && !s->acted && pwrand_below(&f->rnd, 3) == 0) {
-      s->acted = 1;
+    if (s->has_load && !s->load_ended && pwrand_below(&f->rnd, 3) == 0) {
+      s->load_ended = 1;
       s->loaded = i != f->broken && (!trouble || pwrand_below(&f->rnd, 4));
       s->failures = s->loaded ? 0 : s->failures + 1;
       s->retry_at = now + pwplan_backoff(s->failures);
-    } else if (trouble && s->acted && pwrand_below(&f->rnd, 300) == 0) {
+    } else if (trouble && s->load_ended && pwrand_below(&f->rnd, 300) == 0) {
       s->loaded = 0;
     }
     if (trouble && pwrand_below(&f->rnd, 200) == 0)
@@ -931,7 +933,7 @@
   }
 }
 
-/* Never takes more than PWPLAN_AWAY out of service, and reaches its goal. */
+/* Never takes more than PWPLAN_OUT_SHARE out of service, and reaches its goal. */
 static void test_plan_keeps_capacity(void) {
   for (unsigned round = 0; round < 20; round++) {
     plan_fleet f = {.rnd = {.seed = test_seed(40) + round},
@@ -939,7 +941,7 @@
     for (int i = 0; i < PLAN_SLOTS; i++)
       f.s[i] = (pw_plan_slot){
           .id = pwrand(&f.rnd), .usable = 1, .has_serve = 1, .serve = "v1"};
-    pw_plan_ask in = {.from = "v1", .to = "v2", .share = 100, .may_load = 1};
+    pw_plan_input in = {.from = "v1", .to = "v2", .share = 100, .may_load = 1};
     if (round % 3 == 0)
       in.replicas = 25;
     for (int64_t now = 0; now < 400000; now += 100) {
@@ -954,7 +956,7 @@
         plan_apply(&f, &step);
       }
       CHECK(step.kind == PW_PLAN_NONE);
-      CHECK(taken_out <= (int)(PLAN_SLOTS * PWPLAN_AWAY));
+      CHECK(taken_out <= (int)(PLAN_SLOTS * PWPLAN_OUT_SHARE));
       CHECK(before >= taken_out);
       plan_agents(&f, now < 100000, now);
       if (now == 100000)
@@ -976,7 +978,7 @@
     plan_fleet f = {.rnd = {.seed = pwrand(&rnd)}, .broken = -1};
     for (int i = 0; i < PLAN_SLOTS; i++)
       f.s[i] = (pw_plan_slot){.id = pwrand(&f.rnd), .usable = 1};
-    pw_plan_ask in = {.from = "v1", .to = "v2", .may_load = 1};
+    pw_plan_input in = {.from = "v1", .to = "v2", .may_load = 1};
     int before[PLAN_SLOTS] = {0};
     for (in.share = 0; in.share <= 100; in.share += 12.5) {
       for (int64_t now = 0; now < 60000; now += 100) {
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -1,9 +1,9 @@
 /* test_quarantine.c: quarantine of requests that crash targets, in one
 ** process. */
-#include "pwdark.h"
+#include "pwfingerprint.h"
 #include "pwquarantine.h"
-#include "pwsign.h"
 #include "pwtest.h"
+#include "pwunresponsive.h"
 
 #include <string.h>
 
@@ -12,46 +12,47 @@
 }
 
 static void test_fingerprint(void) {
-  uint64_t one = pwsign_of("kett", "POST", span("/a/1"), span("x"));
-  CHECK(one && one == pwsign_of("kett", "POST", span("/a/1"), span("x")));
-  CHECK(one != pwsign_of("exams", "POST", span("/a/1"), span("x")));
-  CHECK(one != pwsign_of("kett", "PUT", span("/a/1"), span("x")));
-  CHECK(one != pwsign_of("kett", "POST", span("/a/1x"), span("")));
-  CHECK(one != pwsign_of("kett", "POST", span("/a/1"), span("y")));
-  CHECK(pwsign_of("", "GET", span("/"), (pw_span){0}) != 0);
+  uint64_t one = pwfingerprint_of("kett", "POST", span("/a/1"), span("x"));
+  CHECK(one &&
+        one == pwfingerprint_of("kett", "POST", span("/a/1"), span("x")));
+  CHECK(one != pwfingerprint_of("exams", "POST", span("/a/1"), span("x")));
+  CHECK(one != pwfingerprint_of("kett", "PUT", span("/a/1"), span("x")));
+  CHECK(one != pwfingerprint_of("kett", "POST", span("/a/1x"), span("")));
+  CHECK(one != pwfingerprint_of("kett", "POST", span("/a/1"), span("y")));
+  CHECK(pwfingerprint_of("", "GET", span("/"), (pw_span){0}) != 0);
 }
 
 /* A request whose target became unresponsive counts once the target is known
 ** to have crashed; only once, not for another incarnation, and not long
 ** after. */
 static void test_unresponsive(void) {
-  pw_dark d = {0};
-  pwdark_note(&d, 7, 1, 1000);
-  pwdark_note(&d, 8, 1, 1000);
-  pwdark_note(&d, 9, 2, 1000);
-  CHECK(pwdark_take(&d, 3, 1500) == 0);
-  CHECK(pwdark_take(&d, 1, 1500) == 7);
-  CHECK(pwdark_take(&d, 1, 1500) == 8);
-  CHECK(pwdark_take(&d, 1, 1500) == 0);
-  CHECK(pwdark_take(&d, 2, 61000) == 0);
-  for (int i = 0; i < 2 * PWDARK_MAX; i++)
-    pwdark_note(&d, 100 + (uint64_t)i, 4, 70000);
+  pw_unresponsive d = {0};
+  pwunresponsive_note(&d, 7, 1, 1000);
+  pwunresponsive_note(&d, 8, 1, 1000);
+  pwunresponsive_note(&d, 9, 2, 1000);
+  CHECK(pwunresponsive_take(&d, 3, 1500) == 0);
+  CHECK(pwunresponsive_take(&d, 1, 1500) == 7);
+  CHECK(pwunresponsive_take(&d, 1, 1500) == 8);
+  CHECK(pwunresponsive_take(&d, 1, 1500) == 0);
+  CHECK(pwunresponsive_take(&d, 2, 61000) == 0);
+  for (int i = 0; i < 2 * PWUNRESPONSIVE_MAX; i++)
+    pwunresponsive_note(&d, 100 + (uint64_t)i, 4, 70000);
   int n = 0;
-  while (pwdark_take(&d, 4, 70000) != 0)
+  while (pwunresponsive_take(&d, 4, 70000) != 0)
     n++;
-  CHECK(n == PWDARK_MAX);
+  CHECK(n == PWUNRESPONSIVE_MAX);
 }
 
 /* --- one instance --- */
 
 static void test_crashes(void) {
   pw_quarantine *q = pwquar_new();
-  CHECK(pwquar_ended(q, 7, 1, 100) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(q, 7, 1, 101) == PWQUAR_OLD); /* the same crash */
-  CHECK(pwquar_ended(q, 7, 2, 200) == PWQUAR_ENDED);
+  CHECK(pwquar_crashed(q, 7, 1, 100) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(q, 7, 1, 101) == PWQUAR_UNCHANGED); /* the same crash */
+  CHECK(pwquar_crashed(q, 7, 2, 200) == PWQUAR_CRASHED);
   CHECK(pwquar_left(q, 7, 200) == 0);
-  CHECK(pwquar_ended(q, 7, 3, 300) == PWQUAR_BEGUN);
-  CHECK(pwquar_ended(q, 7, 4, 310) == PWQUAR_OLD);
+  CHECK(pwquar_crashed(q, 7, 3, 300) == PWQUAR_BEGUN);
+  CHECK(pwquar_crashed(q, 7, 4, 310) == PWQUAR_UNCHANGED);
   CHECK(pwquar_left(q, 7, 300) == PW_QUARANTINE_MS);
   CHECK(pwquar_left(q, 8, 300) == 0 && pwquar_count(q) == 1);
   CHECK(pwquar_total(q) == 3);
@@ -61,23 +62,23 @@
   CHECK(pwquar_left(q, 7, over - 1) == 1);
   pwquar_tick(q, over);
   CHECK(pwquar_left(q, 7, over) == 0 && pwquar_count(q) == 0);
-  CHECK(pwquar_ended(q, 7, 9, over + 5) == PWQUAR_BEGUN);
+  CHECK(pwquar_crashed(q, 7, 9, over + 5) == PWQUAR_BEGUN);
   pwquar_free(q);
 }
 
 /* A target that restarts unnoticed crashes again: with the same id, later. */
 static void test_crashes_again(void) {
   pw_quarantine *a = pwquar_new(), *b = pwquar_new();
-  CHECK(pwquar_ended(a, 7, 1, 1000) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(b, 7, 1, 1100) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(a, 7, 1, 2900) == PWQUAR_OLD); /* seen late */
-  CHECK(pwquar_ended(a, 7, 1, 4000) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(b, 7, 1, 4100) == PWQUAR_ENDED);
+  CHECK(pwquar_crashed(a, 7, 1, 1000) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(b, 7, 1, 1100) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(a, 7, 1, 2900) == PWQUAR_UNCHANGED); /* seen late */
+  CHECK(pwquar_crashed(a, 7, 1, 4000) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(b, 7, 1, 4100) == PWQUAR_CRASHED);
   pw_quar_row row[PWQUAR_ROWS];
-  for (size_t i = pwquar_tell(a, row, 4200); i > 0; i--)
-    CHECK(pwquar_hear(b, &row[i - 1], 4200) == PWQUAR_OLD);
-  CHECK(pwquar_ends(b, 7) == 2); /* both instances count the same two */
-  CHECK(pwquar_ended(b, 7, 1, 7000) == PWQUAR_BEGUN);
+  for (size_t i = pwquar_updates(a, row, 4200); i > 0; i--)
+    CHECK(pwquar_receive(b, &row[i - 1], 4200) == PWQUAR_UNCHANGED);
+  CHECK(pwquar_crashes(b, 7) == 2); /* both instances count the same two */
+  CHECK(pwquar_crashed(b, 7, 1, 7000) == PWQUAR_BEGUN);
   pwquar_free(a);
   pwquar_free(b);
 }
@@ -86,13 +87,14 @@
 ** counted. */
 static void test_answers(void) {
   pw_quarantine *q = pwquar_new();
-  pwquar_ended(q, 7, 1, 100);
-  pwquar_ended(q, 7, 2, 100);
-  CHECK(pwquar_answered(q, 7, 200) == PWQUAR_OLD && pwquar_ends(q, 7) == 0);
-  CHECK(pwquar_ended(q, 7, 3, 300) == PWQUAR_OLD);
-  CHECK(pwquar_ended(q, 7, 3, 20000) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(q, 7, 4, 20000) == PWQUAR_ENDED);
-  CHECK(pwquar_ended(q, 7, 5, 20000) == PWQUAR_BEGUN);
+  pwquar_crashed(q, 7, 1, 100);
+  pwquar_crashed(q, 7, 2, 100);
+  CHECK(pwquar_answered(q, 7, 200) == PWQUAR_UNCHANGED &&
+        pwquar_crashes(q, 7) == 0);
+  CHECK(pwquar_crashed(q, 7, 3, 300) == PWQUAR_UNCHANGED);
+  CHECK(pwquar_crashed(q, 7, 3, 20000) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(q, 7, 4, 20000) == PWQUAR_CRASHED);
+  CHECK(pwquar_crashed(q, 7, 5, 20000) == PWQUAR_BEGUN);
   CHECK(pwquar_answered(q, 7, 20100) ==
         PWQUAR_RELEASED); /* an answer in flight */
   CHECK(pwquar_left(q, 7, 20100) == 0);
@@ -104,26 +106,28 @@
 ** time, not for minutes like one that was never answered. */
 static void test_common_request(void) {
   pw_quarantine *q = pwquar_new();
-  pw_quar_row old = {.sign = 7, .target = {1, 2, 3}, .n = 3, .age_ms = 30000};
+  pw_quar_row old = {
+      .fingerprint = 7, .target = {1, 2, 3}, .n = 3, .age_ms = 30000};
   int64_t now = 20000, wait = 5000;
   pwquar_answered(q, 7, 1000);
   for (uint64_t t = 1; t <= 2; t++)
-    CHECK(pwquar_ended(q, 7, t, now) == PWQUAR_ENDED);
+    CHECK(pwquar_crashed(q, 7, t, now) == PWQUAR_CRASHED);
   for (uint64_t t = 3; t < 9; t++) {
-    CHECK(pwquar_ended(q, 7, t, now) == PWQUAR_BEGUN);
+    CHECK(pwquar_crashed(q, 7, t, now) == PWQUAR_BEGUN);
     CHECK(pwquar_left(q, 7, now) == wait);
     now += wait;
     pwquar_tick(q, now);
     CHECK(pwquar_left(q, 7, now) == 0);
     old.age_ms = wait; /* another instance still has it and keeps sending it */
-    CHECK(pwquar_hear(q, &old, now) == PWQUAR_OLD);
-    CHECK(pwquar_left(q, 7, now) == 0 && pwquar_ends(q, 7) == 2);
+    CHECK(pwquar_receive(q, &old, now) == PWQUAR_UNCHANGED);
+    CHECK(pwquar_left(q, 7, now) == 0 && pwquar_crashes(q, 7) == 2);
     wait *= 2;
   }
-  CHECK(pwquar_answered(q, 7, now) == PWQUAR_OLD && pwquar_ends(q, 7) == 0);
+  CHECK(pwquar_answered(q, 7, now) == PWQUAR_UNCHANGED &&
+        pwquar_crashes(q, 7) == 0);
   now += 20000;
   for (uint64_t t = 21; t <= 23; t++)
-    pwquar_ended(q, 7, t, now);
+    pwquar_crashed(q, 7, t, now);
   CHECK(pwquar_left(q, 7, now) == 5000); /* the first length again */
   pwquar_free(q);
 }
@@ -131,12 +135,12 @@
 /* The number of cases is bounded; those in quarantine stay. */
 static void test_table_is_bounded(void) {
   pw_quarantine *q = pwquar_new();
-  for (uint64_t t = 1; t <= PW_QUARANTINE_ENDS; t++)
-    pwquar_ended(q, 1, t, 1);
-  for (uint64_t sign = 2; sign < 10000; sign++)
-    pwquar_ended(q, sign, 1, 2);
-  CHECK(pwquar_left(q, 1, 2) > 0 && pwquar_ends(q, 2) == 0);
-  CHECK(pwquar_ends(q, 9999) == 1);
+  for (uint64_t t = 1; t <= PW_QUARANTINE_CRASHES; t++)
+    pwquar_crashed(q, 1, t, 1);
+  for (uint64_t fingerprint = 2; fingerprint < 10000; fingerprint++)
+    pwquar_crashed(q, fingerprint, 1, 2);
+  CHECK(pwquar_left(q, 1, 2) > 0 && pwquar_crashes(q, 2) == 0);
+  CHECK(pwquar_crashes(q, 9999) == 1);
   pwquar_free(q);
 }
 
@@ -145,21 +149,21 @@
 /* Sends one update; without `to` it is lost. Returns its number of rows. */
 static int send_update(pw_quarantine *from, pw_quarantine *to, int64_t now) {
   pw_quar_row row[PWQUAR_ROWS];
-  size_t n = pwquar_tell(from, row, now);
+  size_t n = pwquar_updates(from, row, now);
   for (size_t i = 0; to && i < n; i++)
-    pwquar_hear(to, &row[i], now);
+    pwquar_receive(to, &row[i], now);
   return (int)n;
 }
 
 static void test_updates(void) {
   pw_quarantine *a = pwquar_new(), *b = pwquar_new(), *c = pwquar_new();
-  pwquar_ended(a, 7, 1, 1000);
-  pwquar_ended(b, 7, 2, 1000);
-  pwquar_ended(b, 7, 1, 1000); /* both instances saw this crash */
+  pwquar_crashed(a, 7, 1, 1000);
+  pwquar_crashed(b, 7, 2, 1000);
+  pwquar_crashed(b, 7, 1, 1000); /* both instances saw this crash */
   send_update(a, b, 1100);
   send_update(b, a, 1200);
-  CHECK(pwquar_ends(a, 7) == 2 && pwquar_ends(b, 7) == 2);
-  CHECK(pwquar_ended(a, 7, 3, 1300) == PWQUAR_BEGUN);
+  CHECK(pwquar_crashes(a, 7) == 2 && pwquar_crashes(b, 7) == 2);
+  CHECK(pwquar_crashed(a, 7, 3, 1300) == PWQUAR_BEGUN);
   send_update(a, NULL, 1400); /* lost */
   send_update(a, b, 1500);
   CHECK(pwquar_left(b, 7, 1500) == pwquar_left(a, 7, 1500));
@@ -176,15 +180,15 @@
   send_update(b, a, 5200);
   CHECK(!pwquar_left(a, 7, 5200) && !pwquar_left(b, 7, 5200));
   /* an instance that saw an answer contradicts reported crashes */
-  pwquar_ended(a, 9, 1, 5000);
+  pwquar_crashed(a, 9, 1, 5000);
   pwquar_answered(c, 9, 5000);
   send_update(a, c, 5300);
   /* it does not contradict a single crash */
   CHECK(send_update(c, NULL, 5310) <= 1);
-  pwquar_ended(a, 9, 2, 5320);
+  pwquar_crashed(a, 9, 2, 5320);
   send_update(a, c, 5400);
   send_update(c, a, 5500);
-  CHECK(pwquar_ends(a, 9) == 0);
+  CHECK(pwquar_crashes(a, 9) == 0);
   /* all changes have been sent */
   for (int64_t t = 6000; t < 7000; t += 100) {
     send_update(a, NULL, t);
@@ -200,14 +204,17 @@
 static void test_bad_rows(void) {
   pw_quarantine *q = pwquar_new();
   static const pw_quar_row bad[] = {
-      {.sign = 0, .n = 3, .target = {1, 2, 3}},
-      {.sign = 1, .n = PW_QUARANTINE_ENDS + 1},
-      {.sign = 1, .n = -1},
-      {.sign = 1, .n = 3, .target = {1, 2, 3}, .age_ms = PW_QUARANTINE_MS},
-      {.sign = 1, .n = 3, .target = {4, 4, 4}}};
+      {.fingerprint = 0, .n = 3, .target = {1, 2, 3}},
+      {.fingerprint = 1, .n = PW_QUARANTINE_CRASHES + 1},
+      {.fingerprint = 1, .n = -1},
+      {.fingerprint = 1,
+       .n = 3,
+       .target = {1, 2, 3},
+       .age_ms = PW_QUARANTINE_MS},
+      {.fingerprint = 1, .n = 3, .target = {4, 4, 4}}};
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
-    pwquar_hear(q, &bad[i], 1000000);
-  CHECK(pwquar_count(q) == 0 && pwquar_ends(q, 1) == 1);
+    pwquar_receive(q, &bad[i], 1000000);
+  CHECK(pwquar_count(q) == 0 && pwquar_crashes(q, 1) == 1);
   pwquar_free(q);
 }
 
@@ -255,12 +262,12 @@
                          pw_random *r) {
   for (int i = 0; i < gateways; i++) {
     pw_quar_row row[PWQUAR_ROWS];
-    size_t n = pwquar_tell(q[i], row, now);
+    size_t n = pwquar_updates(q[i], row, now);
     int hub = i % 10 == 0;
     for (int k = 0; n && k < gateways; k++)
       for (size_t j = 0; k != i && j < n; j++)
         if ((gateways <= 30 || hub || k % 10 == 0) && pwrand_below(r, 10))
-          pwquar_hear(q[k], &row[j], now);
+          pwquar_receive(q[k], &row[j], now);
   }
 }
 
@@ -290,16 +297,16 @@
         one->at = 0;
         p.crashes++;
         third = third || p.crashes < 3 ? third : now;
-        pwquar_ended(q[one->gateway], BAD, one->target, now);
+        pwquar_crashed(q[one->gateway], BAD, one->target, now);
         for (int k = 0; k < BESIDE; k++) {
           pw_quarantine *its = q[pwrand_below(r, (uint64_t)gateways)];
-          pwquar_ended(its, ++other, one->target, now);
+          pwquar_crashed(its, ++other, one->target, now);
           if (pwrand_below(r, 10))
             pwquar_answered(its, other, now);
         }
         if (!pwrand_below(r, 10))
-          pwquar_ended(q[pwrand_below(r, (uint64_t)gateways)], SHARED,
-                       one->target, now);
+          pwquar_crashed(q[pwrand_below(r, (uint64_t)gateways)], SHARED,
+                         one->target, now);
         if (one->attempt == 1 && !pwquar_left(q[one->gateway], BAD, now)) {
           begin(one, one->gateway, 2, now, r);
           p.late += third && now > third + 3000;
--- a/tests/test_reject.c
+++ b/tests/test_reject.c
@@ -34,12 +34,12 @@
 /* --- targets --- */
 
 static void join(pw_fleet *f, int i) {
-  pw_beat b = {.slots = SLOTS, .seq = 1, .born = 1000};
+  pw_heartbeat b = {.slots = SLOTS, .seq = 1, .born = 1000};
   snprintf(b.id, sizeof b.id, "t%d", i);
   pw_copy(b.service, sizeof b.service, "s");
   snprintf(b.address, sizeof b.address, "10.0.0.1:%d", 1000 + i);
   pw_copy(b.availability_zone, sizeof b.availability_zone, "az-1");
-  CHECK(pwfleet_beat(f, &b, 0, 1000) == PWFLEET_JOINED);
+  CHECK(pwfleet_heartbeat(f, &b, 0, 1000) == PWFLEET_JOINED);
 }
 
 static pw_fleet *fleet_of(int targets) {
@@ -53,20 +53,20 @@
 
 static pw_target *pick(pw_fleet *f, uint64_t key, double draw,
                        pw_target *const *tried, int ntried, int64_t now) {
-  pw_fleet_ask ask = {.service = "s",
-                      .spares_retries = saves_retries,
-                      .how = PWPICK_BY_HOME,
-                      .is_sticky = key != 0,
-                      .key = key,
-                      .wait_ms = 0,
-                      .draw = draw,
-                      .bound = {2, 3, 0, 0},
-                      .part = 1,
-                      .tried = tried,
-                      .ntried = ntried};
+  pw_fleet_criteria ask = {.service = "s",
+                           .save_retries = saves_retries,
+                           .how = PWPICK_BY_HOME,
+                           .is_sticky = key != 0,
+                           .key = key,
+                           .wait_ms = 0,
+                           .draw = draw,
+                           .bound = {2, 3, 0, 0},
+                           .part = 1,
+                           .tried = tried,
+                           .ntried = ntried};
   pw_fleet_picked got = pwfleet_pick(f, &ask, now);
   if (got.target)
-    pwfleet_drop(got.target);
+    pwfleet_release(got.target);
   return got.target;
 }
 
@@ -82,7 +82,7 @@
   for (uint64_t key = 0; key < 100; key++)
     CHECK(pick(f, key, 0.5, NULL, 0, 1500) != a);
   CHECK(pwfleet_usable(f, "s", 1500) == 3); /* its slots count */
-  CHECK(pwfleet_sum(f, "s", PWFLEET_BOTH, 1500).slots == 3 * SLOTS);
+  CHECK(pwfleet_sum(f, "s", PWFLEET_ANY_VERSION, 1500).slots == 3 * SLOTS);
   for (pw_target *t = pwfleet_first(f); t; t = t->hh.next)
     t->inflight = t == a ? 0 : SLOTS; /* the others are full */
   CHECK(pick(f, 7, 0.5, NULL, 0, 1500) == a);
@@ -116,17 +116,17 @@
             *peer_view = pwfleet_find(f[1], "t1");
   pw_loads all = {0}, own = {0}, nothing = {0};
   saves_retries = 0;
-  own_view->seen_at = 60000;
-  pwfleet_unreached(own_view, 60001);
-  CHECK(!pwreject_is_recent(&own_view->misses, 60001));
+  own_view->received_at = 60000;
+  pwfleet_connect_failed(own_view, 60001);
+  CHECK(!pwreject_is_recent(&own_view->connect_failures, 60001));
   own_view->failures = 0;
-  pwfleet_unreached(own_view, 62000);
-  CHECK(own_view->set_aside > 62000);
-  CHECK(pwreject_is_recent(&own_view->misses, 62000));
-  pwloads_add(&own, own_view->miss_hash, 1);
-  pwloads_add(&all, own_view->miss_hash, 1);
+  pwfleet_connect_failed(own_view, 62000);
+  CHECK(own_view->ejected_until > 62000);
+  CHECK(pwreject_is_recent(&own_view->connect_failures, 62000));
+  pwloads_add(&own, own_view->connect_failure_hash, 1);
+  pwloads_add(&all, own_view->connect_failure_hash, 1);
   pwfleet_note_loads(f[1], &all, &nothing, 100);
-  CHECK(peer_view->set_aside == 0);
+  CHECK(peer_view->ejected_until == 0);
   for (uint64_t key = 0; key < 100; key++)
     CHECK(pick(f[1], key, 0.5, NULL, 0, 62100) != peer_view);
   pwfleet_note_loads(f[1], &nothing, &nothing, 100); /* no longer reported */
--- a/tests/test_sight.c
+++ b/tests/test_sight.c
@@ -1,10 +1,10 @@
 /* test_sight.c: load exchange between many gateways: groups and their
 ** aggregators, loads and prompts in datagrams, shares of the slots of a
 ** service. */
+#include "pwgossipmsg.h"
 #include "pwshare.h"
-#include "pwsight.h"
 #include "pwtest.h"
-#include "pwtold.h"
+#include "pwtopology.h"
 
 #include <string.h>
 
@@ -16,19 +16,19 @@
 static void test_groups(void) {
   uint32_t before = 0;
   for (int n = 1; n <= 1000; n++) {
-    uint32_t groups = pwsight_groups(n);
+    uint32_t groups = pwtopology_groups(n);
     CHECK(groups >= before); /* gateways agree while some join and leave */
-    CHECK((groups == 1) == (n <= PWSIGHT_DIRECT));
+    CHECK((groups == 1) == (n <= PWTOPOLOGY_DIRECT_MAX));
     double messages = groups == 1 ? 0 : (double)n / groups + groups;
     CHECK(messages * messages < 16.0 * n);
     before = groups;
   }
-  CHECK(pwsight_groups(80) == pwsight_groups(110));
+  CHECK(pwtopology_groups(80) == pwtopology_groups(110));
 }
 
 /* Each gateway with its own state of the others. */
 typedef struct fleet {
-  pw_sight_peer seen[GATEWAYS][GATEWAYS];
+  pw_topology_peer seen[GATEWAYS][GATEWAYS];
   int is_dead[GATEWAYS];
 } fleet;
 
@@ -44,17 +44,17 @@
 
 /* The aggregator of a group as seen by one gateway. */
 static int aggregator_by(const fleet *f, int who, uint32_t group, int64_t now) {
-  return pwsight_first(f->seen[who], GATEWAYS, pwsight_groups(GATEWAYS), group,
-                       now);
+  return pwtopology_aggregator(f->seen[who], GATEWAYS,
+                               pwtopology_groups(GATEWAYS), group, now);
 }
 
 /* One period: each gateway sends to the aggregator of its group, the
 ** aggregators to those of the other groups; the gateways that are alive
 ** answer. */
 static void period(fleet *f, int64_t now) {
-  uint32_t groups = pwsight_groups(GATEWAYS);
+  uint32_t groups = pwtopology_groups(GATEWAYS);
   for (int i = 0; i < GATEWAYS; i++) {
-    uint32_t mine = pwsight_group(f->seen[i][i].hash, groups);
+    uint32_t mine = pwtopology_group(f->seen[i][i].hash, groups);
     int is_aggregator = aggregator_by(f, i, mine, now) == i;
     for (uint32_t group = 0; group < groups && !f->is_dead[i]; group++) {
       if (group != mine && !is_aggregator)
@@ -62,9 +62,9 @@
       int to = aggregator_by(f, i, group, now);
       if (to < 0 || to == i)
         continue;
-      pwsight_asked(&f->seen[i][to], now);
+      pwtopology_sent(&f->seen[i][to], now);
       if (!f->is_dead[to])
-        pwsight_heard(&f->seen[i][to]);
+        pwtopology_answered(&f->seen[i][to]);
     }
   }
 }
@@ -73,7 +73,8 @@
 static int agree(const fleet *f, uint32_t group, int64_t now) {
   int aggregator = -1;
   for (int i = 0; i < GATEWAYS; i++) {
-    uint32_t mine = pwsight_group(f->seen[i][i].hash, pwsight_groups(GATEWAYS));
+    uint32_t mine =
+        pwtopology_group(f->seen[i][i].hash, pwtopology_groups(GATEWAYS));
     if (f->is_dead[i] || mine != group)
       continue;
     int to = aggregator_by(f, i, group, now);
@@ -89,7 +90,7 @@
 static void test_aggregators(void) {
   static fleet f;
   init_fleet(&f);
-  uint32_t groups = pwsight_groups(GATEWAYS);
+  uint32_t groups = pwtopology_groups(GATEWAYS);
   int64_t now = 1000;
   for (uint32_t group = 0; group < groups; group++)
     CHECK(agree(&f, group, now));
@@ -116,7 +117,7 @@
 
 static void on_datagram(void *arg, const uint8_t *data, size_t n) {
   line *l = arg;
-  CHECK(n <= PWTOLD_BYTES);
+  CHECK(n <= PWGOSSIPMSG_BYTES);
   l->m[l->n] = pw__gossip__unpack(NULL, n, data);
   CHECK(l->m[l->n] != NULL);
   l->n++;
@@ -145,40 +146,40 @@
 /* Few and many targets and prompts arrive as they were sent; late or duplicate
 ** datagrams change nothing; a lost part leaves its earlier content. */
 static void test_datagrams(void) {
-  static const pw_told_prompts none = {.n = 0};
+  static const pw_gossip_prompts none = {.n = 0};
   pw_random r = {.seed = test_seed(4)};
   pw_loads loads = {0}, got = {0};
-  pw_told_loads told = {0};
+  pw_gossip_loads told = {0};
   line l = {.n = 0};
   uint64_t seq = 0;
   for (int n = 0; n < 1000; n += 37) {
-    pw_told_prompts moved = {.n = 0};
+    pw_gossip_prompts moved = {.n = 0};
     for (int i = 0; i < n / 8; i++)
-      pwtold_moved(&moved, pwrand(&r), (uint32_t)pwrand(&r));
+      pwgossipmsg_add_prompt(&moved, pwrand(&r), (uint32_t)pwrand(&r));
     fill(&loads, &r, n);
-    pwtold_pack(PWTOLD_SUM, 7, &seq, &loads, &moved, on_datagram, &l);
+    pwgossipmsg_pack(PWGOSSIPMSG_SUM, 7, &seq, &loads, &moved, on_datagram, &l);
     size_t prompts = 0;
     for (size_t i = 0; i < l.n; i++) {
-      CHECK(pwtold_take(&told, l.m[i], n));
-      CHECK(!pwtold_take(&told, l.m[i], n));
+      CHECK(pwgossipmsg_take(&told, l.m[i], n));
+      CHECK(!pwgossipmsg_take(&told, l.m[i], n));
       prompts += l.m[i]->n_keys;
     }
     CHECK(prompts == moved.n);
     clear(&l);
     pwloads_clear(&got);
-    pwtold_add(&told, &got);
+    pwgossipmsg_sum(&told, &got);
     CHECK(same(&loads, &got));
   }
   fill(&loads, &r, 300);
-  pwtold_pack(PWTOLD_SUM, 7, &seq, &loads, &none, on_datagram, &l);
+  pwgossipmsg_pack(PWGOSSIPMSG_SUM, 7, &seq, &loads, &none, on_datagram, &l);
   CHECK(l.n == 2);
-  CHECK(pwtold_take(&told, l.m[1], 1)); /* the first part is lost */
+  CHECK(pwgossipmsg_take(&told, l.m[1], 1)); /* the first part is lost */
   pwloads_clear(&got);
-  pwtold_add(&told, &got);
+  pwgossipmsg_sum(&told, &got);
   CHECK(got.n > 100 && got.n < 200);
   clear(&l);
   l.n = 0;
-  pwtold_free(&told);
+  pwgossipmsg_free(&told);
   pwloads_free(&loads);
   pwloads_free(&got);
 }
@@ -192,21 +193,21 @@
 static void test_too_many(void) {
   pw_random r = {.seed = test_seed(5)};
   pw_loads loads = {0}, got = {0};
-  pw_told_loads told = {0};
-  pw_told_prompts moved = {.n = 0};
+  pw_gossip_loads told = {0};
+  pw_gossip_prompts moved = {.n = 0};
   line l = {.n = 0};
   uint64_t seq = 0;
-  for (int i = 0; i < PWTOLD_MOVED; i++)
-    pwtold_moved(&moved, UINT64_MAX - pwrand(&r), UINT32_MAX);
+  for (int i = 0; i < PWGOSSIPMSG_PROMPTS_ALL; i++)
+    pwgossipmsg_add_prompt(&moved, UINT64_MAX - pwrand(&r), UINT32_MAX);
   fill(&loads, &r, 2000);
-  pwtold_pack(PWTOLD_TOTAL, 7, &seq, &loads, &moved, on_datagram, &l);
-  CHECK(l.n == PWTOLD_PARTS);
+  pwgossipmsg_pack(PWGOSSIPMSG_TOTAL, 7, &seq, &loads, &moved, on_datagram, &l);
+  CHECK(l.n == PWGOSSIPMSG_PARTS);
   for (size_t i = 0; i < l.n; i++)
-    CHECK(pwtold_take(&told, l.m[i], 1));
-  pwtold_add(&told, &got);
-  CHECK(got.n >= PWTOLD_ROWS);
+    CHECK(pwgossipmsg_take(&told, l.m[i], 1));
+  pwgossipmsg_sum(&told, &got);
+  CHECK(got.n >= PWGOSSIPMSG_ROWS);
   clear(&l);
-  pwtold_free(&told);
+  pwgossipmsg_free(&told);
   pwloads_free(&loads);
   pwloads_free(&got);
 }
@@ -214,7 +215,7 @@
 /* A gateway that restarts counts from the beginning; malformed datagrams are
 ** refused. */
 static void test_restart(void) {
-  pw_told_loads told = {0};
+  pw_gossip_loads told = {0};
   uint32_t key = 5, load = 9;
   Pw__Gossip m = PW__GOSSIP__INIT;
   m.incarnation = 1;
@@ -222,23 +223,23 @@
   m.targets = &key;
   m.loads = &load;
   m.n_targets = m.n_loads = 1;
-  CHECK(pwtold_take(&told, &m, 1));
+  CHECK(pwgossipmsg_take(&told, &m, 1));
   m.seq = 49;
-  CHECK(!pwtold_take(&told, &m, 2));
+  CHECK(!pwgossipmsg_take(&told, &m, 2));
   m.incarnation = 2;
   m.seq = 1;
-  CHECK(pwtold_take(&told, &m, 3));
+  CHECK(pwgossipmsg_take(&told, &m, 3));
   m.seq = 2;
   m.n_loads = 0;
-  CHECK(!pwtold_take(&told, &m, 4));
+  CHECK(!pwgossipmsg_take(&told, &m, 4));
   m.n_loads = 1;
-  m.parts = PWTOLD_PARTS + 1;
-  CHECK(!pwtold_take(&told, &m, 5));
+  m.parts = PWGOSSIPMSG_PARTS + 1;
+  CHECK(!pwgossipmsg_take(&told, &m, 5));
   m.parts = 2;
   m.part = 2;
-  CHECK(!pwtold_take(&told, &m, 6));
+  CHECK(!pwgossipmsg_take(&told, &m, 6));
   CHECK(told.at == 3);
-  pwtold_free(&told);
+  pwgossipmsg_free(&told);
 }
 
 /* --- shares of slots --- */
@@ -254,20 +255,19 @@
       all += asked[i];
     }
     for (int i = 0; i < GATEWAYS; i++) {
-      double mine = pwshare_places(asked[i], all, slots, slots, 0);
+      double mine = pwshare_slots(asked[i], all, slots, slots, 0);
       CHECK(mine >= 1);
-      CHECK(pwshare_places(asked[i], all, slots, slots * 0.6, 0) >
+      CHECK(pwshare_slots(asked[i], all, slots, slots * 0.6, 0) >
             1.7 * mine - 3);
-      CHECK(pwshare_places(asked[i], all, slots, slots / 3, 0) == slots);
+      CHECK(pwshare_slots(asked[i], all, slots, slots / 3, 0) == slots);
       sum += mine;
     }
     CHECK(sum >= slots && sum < 1.1 * slots);
   }
-  CHECK(pwshare_places(10, 10, 48, 0, 0) >= 48); /* alone it has all slots */
+  CHECK(pwshare_slots(10, 10, 48, 0, 0) >= 48); /* alone it has all slots */
   /* nothing is known of the others */
-  CHECK(pwshare_places(10, 0, 48, 48, 0) >= 48);
-  CHECK(pwshare_places(10, 20, 48, 48, 0.1) <
-        pwshare_places(10, 20, 48, 48, 0));
+  CHECK(pwshare_slots(10, 0, 48, 48, 0) >= 48);
+  CHECK(pwshare_slots(10, 20, 48, 48, 0.1) < pwshare_slots(10, 20, 48, 48, 0));
 }
 
 /* The measured rate follows the requests within a few seconds and decays
@@ -275,7 +275,7 @@
 static void test_rate(void) {
   pw_share s = {0};
   for (int64_t now = 0; now < 12000; now += 20)
-    pwshare_asked(&s, now);
+    pwshare_note(&s, now);
   CHECK(pwshare_rate(&s, 12000) > 45 && pwshare_rate(&s, 12000) < 55);
   CHECK(pwshare_rate(&s, 13000) > 30);
   CHECK(pwshare_rate(&s, 30000) < 1);
@@ -313,9 +313,9 @@
     while (n--) { /* gateways have different numbers of callers */
       int g = (int)pwrand_below(&r, 1 + pwrand_below(&r, GATEWAYS));
       double mine = pwshare_rate(&share[g], now);
-      double places = pwshare_places(mine, mine + others_rate[g], SLOTS,
-                                     in_flight[g] + others[g], 0);
-      pwshare_asked(&share[g], now);
+      double places = pwshare_slots(mine, mine + others_rate[g], SLOTS,
+                                    in_flight[g] + others[g], 0);
+      pwshare_note(&share[g], now);
       int fits = with_shares ? in_flight[g] + pwrand_unit(&r) <= places
                              : in_flight[g] + others[g] < SLOTS;
       in_flight[g] += fits;
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -57,7 +57,7 @@
   CHECK(pwsite_draw_service(s, r, 0.1)->cold_ms == 2500);
   CHECK(pwsite_draw_service(s, r, 0.1)->cold_per_s == 23.5);
   CHECK(pwsite_draw_service(s, r, 0.91)->cold_ms == 0);
-  pwsite_drop(s);
+  pwsite_release(s);
 }
 
 /* Replaces the first occurrence. */
@@ -121,7 +121,7 @@
                       pw_site **out) {
   char why[100];
   int steps = 0;
-  pw_reading *r = plat_begin_site(text, strlen(text), before);
+  pw_site_reader *r = plat_begin_site(text, strlen(text), before);
   pw_code rc = PW_OK;
   *out = NULL;
   while (rc == PW_OK && !*out) {
@@ -141,13 +141,14 @@
   CHECK(read_steps(first, A_STEP, NULL, &one) == ROUTES / A_STEP + 1);
   CHECK(read_steps(second, A_STEP, one, &two) == 1);
   CHECK(read_site(second, &whole) == PW_OK);
-  pwsite_drop(one); /* routes copied from it stay valid */
+  pwsite_release(one); /* routes copied from it stay valid */
   for (int i = 0; i <= ROUTES; i++) {
     char path[16];
     snprintf(path, sizeof path, "/p%d/", i);
     const pw_site_route *a = route(two, "a.example", path);
     const pw_site_route *b = route(whole, "a.example", path);
-    CHECK(a && b && !strcmp(a->name, b->name) && !strcmp(a->place, b->place));
+    CHECK(a && b && !strcmp(a->name, b->name) &&
+          !strcmp(a->host_path, b->host_path));
     CHECK(a->timeout_ms == b->timeout_ms && a->nweighted == b->nweighted);
     CHECK(!strcmp(pwsite_draw_service(two, a, 0)->name,
                   pwsite_draw_service(whole, b, 0)->name));
@@ -158,9 +159,9 @@
   CHECK(read_steps(moved, A_STEP, two, &one) > 1);
   const pw_site_route *r = route(one, "a.example", "/p0/");
   CHECK(r && !strcmp(pwsite_draw_service(one, r, 0)->name, "s1"));
-  pwsite_drop(one);
-  pwsite_drop(two);
-  pwsite_drop(whole);
+  pwsite_release(one);
+  pwsite_release(two);
+  pwsite_release(whole);
   free(first);
   free(second);
   free(moved);
@@ -168,11 +169,11 @@
 
 /* Steps are short for a typical document and few for any; a first document takes one step. */
 static void test_step_size(void) {
-  CHECK(pwsite_routes_a_step(1000, 0) == 24);
-  CHECK(pwsite_routes_a_step(132000, 0) == 24);
-  CHECK(pwsite_routes_a_step(132000, 1) > 1000000);
+  CHECK(pwsite_routes_per_step(1000, 0) == 24);
+  CHECK(pwsite_routes_per_step(132000, 0) == 24);
+  CHECK(pwsite_routes_per_step(132000, 1) > 1000000);
   for (size_t routes = 100; routes < 100000; routes *= 3) {
-    size_t a_step = (size_t)pwsite_routes_a_step(300 * routes, 0);
+    size_t a_step = (size_t)pwsite_routes_per_step(300 * routes, 0);
     CHECK(routes / a_step <= 26);
   }
 }
@@ -195,7 +196,7 @@
     CHECK(is_json || (rc != PW_OK && s == NULL));
     CHECK(!is_json || rc != PW_E_BODY);
     good += rc == PW_OK;
-    pwsite_drop(s);
+    pwsite_release(s);
     json_decref(naive);
     free(text);
   }
@@ -251,7 +252,7 @@
     const pw_site_route *got = route(s, "h", path);
     CHECK((got ? atoi(got->name) : -1) == want);
   }
-  pwsite_drop(s);
+  pwsite_release(s);
   pwbuf_free(&text);
 }
 
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -15,33 +15,33 @@
 #define ASK_MS 300 /* a receiver that got nothing asks again */
 
 typedef struct sim {
-  pw_spread_place place[RECEIVERS];
-  pw_spread_place *all[RECEIVERS];
+  pw_spread_peer place[RECEIVERS];
+  pw_spread_peer *all[RECEIVERS];
   int64_t comes_at[RECEIVERS]; /* the document arrives; 0: none in flight */
   int64_t asked_at[RECEIVERS];
-  int is_dead[RECEIVERS]; /* serves no one, though it can_hand */
+  int is_dead[RECEIVERS]; /* serves no one, though it can_serve */
   pw_pace link;
   int own;            /* copies sent by the sender */
   int copies;         /* copies sent by all */
   int64_t latency_ms; /* of an answer, in addition to the time on the link */
 } sim;
 
-static void begin(sim *d, int can_hand) {
+static void begin(sim *d, int can_serve) {
   memset(d, 0, sizeof *d);
   d->link = pwpace_of(LINK_MBPS);
   for (int i = 0; i < RECEIVERS; i++) {
     d->all[i] = &d->place[i];
     d->place[i].id = (uint64_t)i + 1;
-    d->place[i].can_hand = can_hand;
+    d->place[i].can_serve = can_serve;
     d->place[i].holds = NEWEST - 1;
   }
 }
 
-static int index_of(const sim *d, const pw_spread_place *p) {
+static int index_of(const sim *d, const pw_spread_peer *p) {
   return (int)(p - d->place);
 }
 
-static void check_source(const sim *d, const pw_spread_place *source,
+static void check_source(const sim *d, const pw_spread_peer *source,
                          int64_t now) {
   CHECK(source->holds == NEWEST);
   CHECK(source->busy_until <= now);
@@ -49,12 +49,12 @@
 }
 
 static void serve(sim *d, size_t bytes, int64_t now) {
-  pw_spread_place *to;
+  pw_spread_peer *to;
   int own;
-  while ((to = pwspread_first(d->all, RECEIVERS, now)) != NULL) {
-    pw_spread_place *source =
-        pwspread_giver(to, d->all, RECEIVERS, NEWEST, bytes,
-                       pwpace_has_room(&d->link, now), now, &own);
+  while ((to = pwspread_next(d->all, RECEIVERS, now)) != NULL) {
+    pw_spread_peer *source =
+        pwspread_source(to, d->all, RECEIVERS, NEWEST, bytes,
+                        pwpace_has_room(&d->link, now), now, &own);
     if (!source && !own)
       return;
     if (source)
@@ -73,15 +73,15 @@
 }
 
 static void receive(sim *d, int i, int64_t now) {
-  pw_spread_place *p = &d->place[i];
+  pw_spread_peer *p = &d->place[i];
   if (d->comes_at[i] && d->comes_at[i] <= now) {
     d->comes_at[i] = 0;
-    pwspread_holds(p, NEWEST, NEWEST, d->all, RECEIVERS);
+    pwspread_received(p, NEWEST, NEWEST, d->all, RECEIVERS);
   }
   if (p->holds < NEWEST &&
       (!p->requested_at || now - d->asked_at[i] >= ASK_MS)) {
     d->asked_at[i] = now;
-    pwspread_want(p, now);
+    pwspread_request(p, now);
   }
 }
 
@@ -150,7 +150,7 @@
     d.latency_ms = slow;
     int64_t took = play(&d, BYTES);
     CHECK(took < INT64_MAX);
-    CHECK(d.copies <= RECEIVERS + 1 + took / PW_SPREAD_SERVE_MS);
+    CHECK(d.copies <= RECEIVERS + 1 + took / PW_SPREAD_TIMEOUT_MS);
   }
 }
 
@@ -160,21 +160,21 @@
 static void test_newer(void) {
   sim d;
   begin(&d, 1);
-  pwspread_holds(d.all[0], NEWEST, NEWEST, d.all, RECEIVERS);
-  pwspread_want(d.all[1], 1);
+  pwspread_received(d.all[0], NEWEST, NEWEST, d.all, RECEIVERS);
+  pwspread_request(d.all[1], 1);
   pwspread_serve(d.all[1], d.all[0], 1);
   int own;
-  CHECK(pwspread_first(d.all, RECEIVERS, 1) == NULL);
-  pwspread_want(d.all[2], 2);
-  CHECK(pwspread_giver(d.all[2], d.all, RECEIVERS, NEWEST, BYTES, 0, 2, &own) ==
-        NULL);
+  CHECK(pwspread_next(d.all, RECEIVERS, 1) == NULL);
+  pwspread_request(d.all[2], 2);
+  CHECK(pwspread_source(d.all[2], d.all, RECEIVERS, NEWEST, BYTES, 0, 2,
+                        &own) == NULL);
   CHECK(!own); /* the only source is busy, and so is the link */
-  pwspread_holds(d.all[1], NEWEST, NEWEST + 1, d.all, RECEIVERS);
+  pwspread_received(d.all[1], NEWEST, NEWEST + 1, d.all, RECEIVERS);
   CHECK(d.all[0]->busy_until == 0);
-  CHECK(pwspread_giver(d.all[2], d.all, RECEIVERS, NEWEST + 1, BYTES, 0, 3,
-                       &own) == NULL);
-  pwspread_want(d.all[1], 3);
-  CHECK(pwspread_first(d.all, RECEIVERS, 3) == d.all[1]);
+  CHECK(pwspread_source(d.all[2], d.all, RECEIVERS, NEWEST + 1, BYTES, 0, 3,
+                        &own) == NULL);
+  pwspread_request(d.all[1], 3);
+  CHECK(pwspread_next(d.all, RECEIVERS, 3) == d.all[1]);
 }
 
 /* Bulk data never exceeds its share over a second, and is never sent far
--- a/tests/test_standstill.c
+++ b/tests/test_standstill.c
@@ -36,7 +36,7 @@
   for (int i = 0; i < TARGETS; i++) {
     b->id[i] = (uint64_t)i + 1;
     b->t[i] = (pw_route_target){
-        .id = b->id[i], .usable = 1, .aside = i < 2, .limit = 1e9};
+        .id = b->id[i], .usable = 1, .ejected = i < 2, .limit = 1e9};
     pt[i] = (pw_place_target){b->id[i], 1};
   }
   b->place = pwplace_build(pt, TARGETS, NULL);
@@ -52,11 +52,11 @@
     pw_route_walk w = {.key = key, .draw = key * 77, .cost = COST};
     pw_route_pick pick = pwroute_next(&b.pool, &w);
     for (int k = 0; k < 2; k++) {
-      CHECK(!b.t[pick.id - 1].aside && !pick.may_queue);
+      CHECK(!b.t[pick.id - 1].ejected && !pick.may_queue);
       pwroute_refused(&w, pick.id, PW_REFUSED_BUSY, 2, 0);
       pick = pwroute_next(&b.pool, &w);
     }
-    CHECK(pick.id && !b.t[pick.id - 1].aside && pick.may_queue);
+    CHECK(pick.id && !b.t[pick.id - 1].ejected && pick.may_queue);
   }
   pwplace_free(b.place);
 }
@@ -69,7 +69,7 @@
   pw_route_walk w = {.key = 5, .draw = 9, .cost = COST};
   pw_route_pick pick = pwroute_next(&b.pool, &w);
   pwroute_refused(&w, pick.id, PW_REFUSED_BUSY, 2, 0);
-  pwroute_take_for_full(&w);
+  pwroute_assume_full(&w);
   CHECK(pwroute_next(&b.pool, &w).may_queue);
   CHECK(pwroute_next(&b.pool, &w).id == 0);
   pwplace_free(b.place);
@@ -77,13 +77,13 @@
 
 /* An agent whose target served SERVED requests one at a time, each in took_ms.
 ** Returns the time at the end. */
-static int64_t serve(pw_admit *a, const pw_admit_ask *request,
+static int64_t serve(pw_admit *a, const pw_admit_request *request,
                      const pw_pool_sum *pool, int64_t took_ms) {
   int64_t now = 0;
   pwadmit_init(a, SLOTS, QUEUE, 1000, now);
   a->bound.floor = 1e9;
   for (int i = 0; i < SERVED; i++) {
-    CHECK(pwadmit_ask(a, request, pool, now).verdict == PW_ADMIT_START);
+    CHECK(pwadmit_decide(a, request, pool, now).verdict == PW_ADMIT_START);
     now += took_ms;
     pwadmit_end(a, COST, now);
   }
@@ -91,11 +91,12 @@
 }
 
 /* How many of n simultaneous requests the agent refuses. */
-static int count_refused(pw_admit *a, const pw_admit_ask *request,
+static int count_refused(pw_admit *a, const pw_admit_request *request,
                          const pw_pool_sum *pool, int n, int64_t now) {
   int refused = 0;
   for (int i = 0; i < n; i++)
-    refused += pwadmit_ask(a, request, pool, now).verdict == PW_ADMIT_REFUSED;
+    refused +=
+        pwadmit_decide(a, request, pool, now).verdict == PW_ADMIT_REFUSED;
   return refused;
 }
 
@@ -103,11 +104,11 @@
   pw_admit a;
   pw_pool_sum pool = {.targets = 1};
   int job;
-  pw_admit_ask request = {.workspace = "w",
-                          .weight = 1,
-                          .cost = COST,
-                          .deadline = INT64_MAX,
-                          .job = &job};
+  pw_admit_request request = {.workspace = "w",
+                              .weight = 1,
+                              .cost = COST,
+                              .deadline = INT64_MAX,
+                              .job = &job};
   int64_t now = serve(&a, &request, &pool, took_ms);
   request.age_ms = age_ms;
   int refused = count_refused(&a, &request, &pool, n, now);
--- a/tests/test_news.c
+++ b/tests/test_treereport.c
@@ -1,4 +1,4 @@
-/* test_news.c: reports of targets' states by children whose Hellos wait to be read.
+/* test_treereport.c: reports of targets' states by children whose Hellos wait to be read.
 **
 ** Guards against rollouts that never end on busy machines (scenario 17_rollout).
 ** A target's state is sent once, when it changes. When two Hellos of one entry
@@ -6,8 +6,8 @@
 ** by the few milliseconds that it had waited at the entry, and was dropped. The
 ** leader then waited for a state that had been sent already. */
 #include "pwlimits.h"
-#include "pwnews.h"
 #include "pwtest.h"
+#include "pwtreereport.h"
 
 #include <string.h>
 
@@ -20,7 +20,7 @@
   uint32_t age;
 } report;
 
-static void receive(pw_news *n, report t, int64_t now) {
+static void receive(pw_treereport *n, report t, int64_t now) {
   Pw__ModelState m = PW__MODEL_STATE__INIT;
   m.model = "register";
   m.version = "v1";
@@ -40,11 +40,11 @@
   e.from = (char *)t.from;
   e.body_case = PW__ENVELOPE__BODY_HELLO;
   e.hello = &h;
-  pwnews_hello(n, &e, now);
+  pwtreereport_hello(n, &e, now);
 }
 
-static uint64_t known_attempt(const pw_news *n) {
-  const Pw__TargetState *s = pwnews_target(n, "engine-1");
+static uint64_t known_attempt(const pw_treereport *n) {
+  const Pw__TargetState *s = pwtreereport_target(n, "engine-1");
   return s && s->n_models ? s->models[0]->attempt : 0;
 }
 
@@ -52,20 +52,20 @@
 ** whatever the ages of the states. */
 static void test_same_child(void) {
   pw_random r = {.seed = test_seed(17)};
-  pw_news *n = pwnews_new();
+  pw_treereport *n = pwtreereport_new();
   for (uint64_t attempt = 1; attempt <= 1000; attempt++) {
     int64_t now = NOW + (int64_t)(attempt / 4);
     receive(n, (report){"entry-1", attempt, (uint32_t)pwrand_below(&r, 400)},
             now);
     CHECK(known_attempt(n) == attempt);
   }
-  pwnews_free(n);
+  pwtreereport_free(n);
 }
 
 /* A target that changed to another entry: a state that the earlier entry sends
 ** again, as it does to a new leader, is older and ignored. */
 static void test_other_child(void) {
-  pw_news *n = pwnews_new();
+  pw_treereport *n = pwtreereport_new();
   receive(n, (report){"entry-1", 1, 0}, NOW);
   receive(n, (report){"entry-2", 2, 10}, NOW + 5000);
   CHECK(known_attempt(n) == 2);
@@ -73,22 +73,22 @@
   CHECK(known_attempt(n) == 2);
   receive(n, (report){"entry-2", 3, 7000}, NOW + 7000);
   CHECK(known_attempt(n) == 3);
-  pwnews_free(n);
+  pwtreereport_free(n);
 }
 
 /* A target whose agent left this parent is not gone when another child has
 ** reported it since. */
 static void test_gone(void) {
-  pw_news *n = pwnews_new();
-  pw_child left = {.target = "engine-1", .heard = NOW};
+  pw_treereport *n = pwtreereport_new();
+  pw_child left = {.target = "engine-1", .last_hello_at = NOW};
   receive(n, (report){"agent-1", 1, 0}, NOW);
   receive(n, (report){"entry-2", 1, 0}, NOW + 5000);
-  pwnews_child_left(n, &left, NOW + 15000);
-  CHECK(!pwnews_target(n, "engine-1")->gone);
-  left.heard = NOW + 6000;
-  pwnews_child_left(n, &left, NOW + 21000);
-  CHECK(pwnews_target(n, "engine-1")->gone);
-  pwnews_free(n);
+  pwtreereport_child_left(n, &left, NOW + 15000);
+  CHECK(!pwtreereport_target(n, "engine-1")->gone);
+  left.last_hello_at = NOW + 6000;
+  pwtreereport_child_left(n, &left, NOW + 21000);
+  CHECK(pwtreereport_target(n, "engine-1")->gone);
+  pwtreereport_free(n);
 }
 
 int main(void) {
