--- a/packages/policy/pwadmit.c
+++ b/packages/policy/pwadmit.c
@@ -2,18 +2,18 @@
 #include "pwadmit.h"
 
 #define MS 1000.0
-#define SERVED_WINDOW_MS 1000
-#define SERVED_KEEP 0.7 /* weight of the past in the average */
-#define WAIT_MAX_MS 600000.0
+#define SERVED_WINDOW_MS 1000 /* length of an averaging window */
+#define SERVED_KEEP 0.7       /* weight of the past in the average */
+#define WAIT_MAX_MS 600000.0  /* longest wait that is estimated */
 
 /* A wait for a slot of up to this many ms costs less than a refusal: the entry
 ** would try another target, with a round trip (1.4 ms one way between
 ** availability zones) and perhaps another refusal. */
 #define HOP_MS 10
 
-/* The same holds for a wait of up to this part of the request's age. After an
-** agent stalled for 1 s, refusals cost 76 more hops for 600 requests and give
-** no caller an earlier answer. */
+/* A wait of up to this part of the request's age is accepted as well. After an
+** agent stalled for 1 s, refusals instead of such waits cost 76 more hops for
+** 600 requests, and no caller gets its answer earlier. */
 #define AGE_PART 0.1
 
 void pwadmit_init(pw_admit *a, int slots, int queue, double rate, int64_t now) {
@@ -55,9 +55,9 @@
   a->running++;
 }
 
-/* Whether a slot is soon free for one more request in the queue, by the recent
-** time of a request. The recent token rate would be too low an estimate for a
-** target that had little to do until now. */
+/* Whether one more queued request would get a slot soon, by the recent duration
+** of a request. The recent token rate would be too low an estimate for a target
+** that had little to do until now. */
 static int is_wait_short(const pw_admit *a, int64_t age_ms) {
   if (a->running < a->slots || a->request_ms <= 0)
     return 0;
@@ -70,7 +70,8 @@
                       int priority) {
   double ahead = pwqueue_ahead(a->queue, workspace, weight, priority);
   double rate = a->served > 1 ? a->served : 1;
-  /* One in progress has to end first: half of the mean cost on average. */
+  /* A request in progress has to end first, and half of the mean cost is left
+  ** of it on average. */
   double first = a->running ? a->load.actual / a->running / 2 : 0;
   double ms = (ahead + first) / rate * MS;
   return (uint32_t)(ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms);
@@ -87,8 +88,8 @@
 pw_admit_answer pwadmit_decide(pw_admit *a, const pw_admit_request *request,
                                const pw_pool_sum *pool, int64_t now) {
   pw_admit_answer out = {.verdict = PW_ADMIT_REFUSED, .code = PW_E_BUSY};
-  int64_t held_ms = pwholdoff_left(&a->hold_off, now);
-  int free_slot = a->running < a->slots && held_ms == 0;
+  int64_t hold_off_ms = pwholdoff_left(&a->hold_off, now);
+  int free_slot = a->running < a->slots && hold_off_ms == 0;
   int has_room = request->may_queue ? may_start(a, request->cost, pool, now)
                                     : fits(a, request->cost, pool, now);
   if (free_slot && has_room && pwqueue_count(a->queue) == 0) {
@@ -100,15 +101,15 @@
   out.by_bound = free_slot && !has_room;
   out.wait =
       pwadmit_wait(a, request->workspace, request->weight, request->priority);
-  if (out.wait < held_ms)
-    out.wait = (uint32_t)held_ms;
+  if (out.wait < hold_off_ms)
+    out.wait = (uint32_t)hold_off_ms;
   if (now + out.wait >= request->deadline) {
     out.code = PW_E_DEADLINE;
     return out;
   }
   out.worth = worth_of(a, request->recompute);
   if (!request->may_queue && out.wait >= out.worth &&
-      (held_ms || !is_wait_short(a, request->age_ms)))
+      (hold_off_ms || !is_wait_short(a, request->age_ms)))
     return out;
   pw_item item = {.weight = request->weight,
                   .priority = request->priority,
@@ -143,7 +144,7 @@
   return item.job;
 }
 
-/* Averages the time of a request: slot time per request that ended. */
+/* Averages the duration of a request: slot time per request that ended. */
 static void average_request_ms(pw_admit *a, int64_t now) {
   count_slot_ms(a, now);
   if (a->ended_since) {
--- a/packages/policy/pwbound.h
+++ b/packages/policy/pwbound.h
@@ -17,8 +17,8 @@
 
 /* Default settings of the bound, which `policy` resources override. */
 #define PWBOUND_BOUND 1.25
-#define PWBOUND_FLOOR 4096.0
-#define PWBOUND_PROMPT_WEIGHT 0.2
+#define PWBOUND_FLOOR 4096.0      /* tokens */
+#define PWBOUND_PROMPT_WEIGHT 0.2 /* of a prompt token, in output tokens */
 #define PWBOUND_GRACE_MS 1000
 #define PWBOUND_MARGIN 0.6
 
@@ -36,7 +36,7 @@
   double actual;  /* tokens in progress */
   double counted; /* at least `actual`; falls no faster than `rate` */
   double rate;    /* tokens a second */
-  int64_t at;     /* time of `counted`, ms */
+  int64_t at;     /* time up to which `counted` has fallen, ms */
 } pw_load;
 
 void pwload_init(pw_load *l, double rate, int64_t now);
--- a/packages/policy/pwbreak.c
+++ b/packages/policy/pwbreak.c
@@ -7,7 +7,7 @@
 #define MIN_FAILURES 2.5    /* decayed count below which it stays closed */
 #define MAX_SHARE 0.5       /* error rate from which it opens */
 #define CONSECUTIVE_MAX 3   /* failures in a row that open it */
-#define FIRST_SHARE 0.05    /* of its picks, when slow start begins */
+#define FIRST_SHARE 0.05    /* share of its picks when the slow start begins */
 
 void pwbreak_init(pw_breaker *b, int64_t now, int fresh) {
   *b = (pw_breaker){.at = now, .open_ms = PWBREAK_OPEN_MS};
--- a/packages/policy/pwbreak.h
+++ b/packages/policy/pwbreak.h
@@ -24,8 +24,8 @@
   int64_t ramp_from;  /* start of the slow start, ms; 0: none */
 } pw_breaker;
 
-/* Begins with a working target; with `fresh` it has just joined and ramps
-** up. */
+/* Initializes the breaker of a working target; with `fresh` the target has just
+** joined and begins a slow start. */
 void pwbreak_init(pw_breaker *b, int64_t now, int fresh);
 
 /* Counts an attempt that ended. Returns 1 if this ejected the target. */
--- a/packages/policy/pwbuflimits.h
+++ b/packages/policy/pwbuflimits.h
@@ -1,5 +1,5 @@
-/* pwbuflimits.h: limits on what a gateway buffers for callers and targets that read
-** slowly.
+/* pwbuflimits.h: limits on what a gateway buffers for callers and targets that
+** read slowly.
 **
 ** Pure. Prevents this failure: many callers stop reading in the middle of
 ** their answers, or send long bodies to targets that read slowly. The buffer
@@ -14,12 +14,12 @@
 #include <stdint.h>
 
 typedef struct pw_buflimits {
-  /* Bytes of a stream not yet written to its caller from which on the target
-  ** of the stream is paused. */
+  /* The target of a stream is paused when this many bytes are not yet written
+  ** to the caller. */
   size_t unwritten;
   /* Bytes read ahead from a caller whose request is in progress. */
   size_t ahead;
-  /* Longest body of a request that arrives now. */
+  /* Longest body of a request that arrives now, in bytes. */
   size_t body;
   /* A caller that reads nothing for this time is disconnected, ms. */
   int64_t stall_ms;
@@ -27,7 +27,7 @@
   int64_t stall_complete_ms;
 } pw_buflimits;
 
-/* The limits while `held` bytes of a budget are in use. */
-pw_buflimits pwbuflimits_of(size_t held, size_t budget);
+/* The limits while `buffered` bytes of a budget are in use. */
+pw_buflimits pwbuflimits_of(size_t buffered, size_t budget);
 
 #endif
--- a/packages/policy/pwcache.c
+++ b/packages/policy/pwcache.c
@@ -4,11 +4,11 @@
 #include <stddef.h>
 
 #define CHATS_MAX 65536
-#define KEEP_MS (7LL * 24 * 3600 * 1000)
-#define CAPACITY_FIRST 1e9 /* tokens, until the first miss */
-#define CAPACITY_LEAST 2000.0
-#define SHRINK 0.97 /* factor for each miss */
-#define GROW 1.005  /* factor for each hit near the capacity */
+#define KEEP_MS (7LL * 24 * 3600 * 1000) /* of a chat without requests */
+#define CAPACITY_FIRST 1e9               /* tokens, until the first miss */
+#define CAPACITY_LEAST 2000.0            /* tokens */
+#define SHRINK 0.97                      /* factor for each miss */
+#define GROW 1.005 /* factor for each hit near the capacity */
 
 void pwcache_init(pw_cache *c) {
   c->chats = pwchat_new(CHATS_MAX, KEEP_MS);
@@ -26,23 +26,25 @@
   return tokens;
 }
 
-/* A miss shows that the cache holds less than what was put there since. */
-static void learn(pw_cache *c, uint32_t cached, uint32_t expected) {
+/* Adjusts the estimated capacity after a prompt whose prefix was expected to be
+** cached. A miss shows that the cache holds less than all chats in the
+** table. */
+static void adjust_capacity(pw_cache *c, uint32_t cached, uint32_t expected) {
   if (!expected)
     return;
-  double held = (double)pwchat_tokens(c->chats);
+  double tokens = (double)pwchat_tokens(c->chats);
   if (cached < expected / 2) {
-    c->capacity = (held < c->capacity ? held : c->capacity) * SHRINK;
+    c->capacity = (tokens < c->capacity ? tokens : c->capacity) * SHRINK;
     if (c->capacity < CAPACITY_LEAST)
       c->capacity = CAPACITY_LEAST;
-  } else if (held > c->capacity * SHRINK) {
+  } else if (tokens > c->capacity * SHRINK) {
     c->capacity *= GROW;
   }
 }
 
 void pwcache_note(pw_cache *c, const char *chat, uint32_t prompt,
                   uint32_t cached, uint32_t expected, int64_t now) {
-  learn(c, cached, expected);
+  adjust_capacity(c, cached, expected);
   pwchat_put(c->chats, chat, "", prompt, now);
   pwchat_fit(c->chats, (uint64_t)c->capacity);
 }
@@ -63,17 +65,17 @@
     pwchat_forget(c->chats, e->chat);
 }
 
-static void apply_snapshot(pw_cache *c, const pw_cache_update *news) {
-  pwchat_forget_before(c->chats, news->at);
-  for (size_t i = 0; i < news->n; i++)
-    apply(c, &news->event[i]);
+static void apply_snapshot(pw_cache *c, const pw_cache_update *update) {
+  pwchat_forget_before(c->chats, update->at);
+  for (size_t i = 0; i < update->n; i++)
+    apply(c, &update->event[i]);
 }
 
 /* Applies events in order of their numbers and skips those seen before;
 ** returns 0 at a gap. */
-static int apply_changes(pw_cache *c, const pw_cache_update *news) {
-  for (size_t i = 0; i < news->n; i++) {
-    const pw_cache_event *e = &news->event[i];
+static int apply_changes(pw_cache *c, const pw_cache_update *update) {
+  for (size_t i = 0; i < update->n; i++) {
+    const pw_cache_event *e = &update->event[i];
     if (e->number <= c->seen)
       continue;
     if (e->number != c->seen + 1)
@@ -81,22 +83,22 @@
     apply(c, e);
     c->seen = e->number;
   }
-  return c->seen >= news->newest;
+  return c->seen >= update->newest;
 }
 
-int pwcache_update(pw_cache *c, const pw_cache_update *news) {
+int pwcache_update(pw_cache *c, const pw_cache_update *update) {
   int complete = 1;
-  if (news->is_snapshot) {
-    apply_snapshot(c, news);
-    c->seen = news->newest;
-  } else if (news->epoch != c->epoch) {
+  if (update->is_snapshot) {
+    apply_snapshot(c, update);
+    c->seen = update->newest;
+  } else if (update->epoch != c->epoch) {
     pwcache_restarted(c);
     return 0;
   } else {
-    complete = apply_changes(c, news);
+    complete = apply_changes(c, update);
   }
-  c->epoch = news->epoch;
-  if (news->n)
+  c->epoch = update->epoch;
+  if (update->n)
     pwchat_sort(c->chats);
   return complete;
 }
--- a/packages/policy/pwcanary.c
+++ b/packages/policy/pwcanary.c
@@ -9,10 +9,10 @@
 #define PW_MUTATION 0
 #endif
 enum {
-  MUT_ALL_AT_ONCE = 50,   /* no trial share before all requests */
+  MUT_ALL_AT_ONCE = 50,   /* all requests move without a trial share */
   MUT_NO_WAY_BACK = 51,   /* a version with all requests is never reverted */
   MUT_ONE_SUM = 52,       /* routes are summed up */
-  MUT_NO_ROOM_ASKED = 53, /* it gets all requests without enough slots */
+  MUT_NO_ROOM_ASKED = 53, /* a version gets all requests without enough slots */
   MUT_BACK_AGAIN = 54     /* a reverted rollout begins again */
 };
 
@@ -32,13 +32,13 @@
 ** gateways have reported them. */
 #define TRIAL_MS 600
 
-/* The first share is at most this part of what a bad version may get. The rest
-** is for requests that go there until all gateways know that it is
-** reverted. */
+/* The first share is at most this part of the requests that a bad version may
+** get. The rest allows for requests that are sent to it until all gateways know
+** that it is reverted. */
 #define EXPOSE_PART 0.9
 
-/* Slots that the new targets need to take all requests, as a part of the old
-** ones'. */
+/* Slots that the new targets need before they get all requests, as a part of
+** the slots of the old targets. */
 #define ROOM_PART 0.8
 
 /* Prior of the old version's error rate: pseudo-counts of answers and of bad
@@ -65,11 +65,12 @@
 
 /* --- evidence --- */
 
-/* Shares of the otherwise good answers that a worse version fails. */
+/* Shares of the otherwise good answers that a worse version may fail. */
 static const double worse[] = {0.02, 0.05, 0.15, 0.4, 0.8};
 #define WORSE (int)(sizeof worse / sizeof worse[0])
 
-/* The average over degrees of worse is a likelihood ratio as well. */
+/* Likelihood ratio of the answers, averaged over the failure shares in `worse`.
+** The average is a likelihood ratio as well. */
 static double ratio_of(double good, double bad, double baseline) {
   double sum = 0;
   for (int i = 0; i < WORSE; i++) {
--- a/packages/policy/pwcanary.h
+++ b/packages/policy/pwcanary.h
@@ -4,14 +4,14 @@
 ** Pure. The problem: the new targets stand beside the old ones, all gateways
 ** together see some hundred answers of them, and a bad version fails or slows
 ** down a part of its requests, perhaps only later, under load, or on one
-** route. A small share of the requests goes to a few of the new targets, which
-** so have the load that each will have in the end, as long as there is time;
-** then all of it, in two steps. The evidence against the version is a
-** sequential test that may be evaluated at any time: the likelihood ratio of
-** the answers, of a version worse than the old one to one that is not,
-** averaged over degrees of worse and over routes. By Ville's inequality a
-** version that is as good exceeds `PWCANARY_BAD` in at most one of that number
-** of rollouts. */
+** route. While there is time, a small share of the requests goes to a few of
+** the new targets, so that each of these has the load that it will have in the
+** end. Then all requests move, in two steps. The evidence against the version
+** is a sequential test that may be evaluated at any time: the likelihood ratio
+** of the answers, of a version worse than the old one to one that is not,
+** averaged over several shares of additional failures and over routes. By
+** Ville's inequality a version that is as good exceeds `PWCANARY_BAD` in at
+** most one of that number of rollouts. */
 #ifndef PWCANARY_H
 #define PWCANARY_H
 
@@ -23,10 +23,11 @@
 #define PWCANARY_ALL 1000      /* shares are in thousandths */
 #define PWCANARY_ROUTES_MAX 64 /* routes kept apart; the others share one row */
 
-/* The share of the first stage, unless the operator allows less. */
+/* The share of the first stage in thousandths, unless the operator allows
+** less. */
 #define PWCANARY_SHARE 100
 
-/* The share of the second stage, before all of the requests. */
+/* The share of the second stage in thousandths, before all requests move. */
 #define PWCANARY_TRIAL_SHARE 250
 
 /* The likelihood ratio from which a version is reverted. */
@@ -49,15 +50,16 @@
 
 /* Answers on one route since the rollout began, summed over all gateways. */
 typedef struct pw_canary_route {
-  double good_to, bad_to;     /* of the new version */
-  double good_from, bad_from; /* of all others */
+  double good_to, bad_to;     /* answers of the new version */
+  double good_from, bad_from; /* answers of all other versions */
 } pw_canary_route;
 
 typedef struct pw_canary_input {
-  int64_t over_ms;     /* time after its begin by which it is to be complete */
-  int64_t elapsed_ms;  /* time since its begin */
+  int64_t over_ms;     /* planned duration of the rollout */
+  int64_t elapsed_ms;  /* time since the start of the rollout */
   int64_t in_share_ms; /* time for which the current share has been in force */
-  double slots_to, slots_from; /* of the usable targets */
+  double slots_to;     /* slots of the usable targets of the new version */
+  double slots_from;   /* slots of all other usable targets */
   double expose_share; /* share of the requests that a bad version may get */
   const pw_canary_route *route;
   int nroutes;
--- a/packages/policy/pwchat.c
+++ b/packages/policy/pwchat.c
@@ -12,7 +12,7 @@
 ** caller. */
 typedef struct row {
   XXH128_hash_t key;
-  char where[PW_NAME_MAX];
+  char target[PW_NAME_MAX];
   uint32_t tokens;
   int64_t at;
   UT_hash_handle hh;
@@ -72,7 +72,7 @@
   return r;
 }
 
-void pwchat_put(pw_chats *c, const char *chat, const char *where,
+void pwchat_put(pw_chats *c, const char *chat, const char *target,
                 uint32_t tokens, int64_t now) {
   row *r = find(c, chat);
   if (r) {
@@ -81,7 +81,7 @@
     r = pw_alloc(sizeof *r);
     r->key = XXH3_128bits(chat, strlen(chat));
   }
-  pw_copy(r->where, sizeof r->where, where);
+  pw_copy(r->target, sizeof r->target, target);
   c->tokens -= r->tokens;
   c->tokens += tokens;
   r->tokens = tokens;
@@ -91,7 +91,7 @@
     drop(c, c->rows);
 }
 
-int pwchat_get(pw_chats *c, const char *chat, char where[PW_NAME_MAX],
+int pwchat_get(pw_chats *c, const char *chat, char target[PW_NAME_MAX],
                uint32_t *tokens, int64_t now) {
   row *r = find(c, chat);
   if (!r)
@@ -100,8 +100,8 @@
     drop(c, r);
     return 0;
   }
-  if (where)
-    pw_copy(where, PW_NAME_MAX, r->where);
+  if (target)
+    pw_copy(target, PW_NAME_MAX, r->target);
   if (tokens)
     *tokens = r->tokens;
   return 1;
--- a/packages/policy/pwchat.h
+++ b/packages/policy/pwchat.h
@@ -1,5 +1,6 @@
-/* pwchat.h: bounded tables of chats: those whose prefix is cached here, and the
-** target that has the prefix of a chat served away from its home. */
+/* pwchat.h: bounded tables of chats. An agent lists the chats whose prefix its
+** target has cached, and the target that has the prefix of each chat served
+** away from its home. */
 #ifndef PWCHAT_H
 #define PWCHAT_H
 
@@ -22,13 +23,13 @@
 void pwchat_fit(pw_chats *c, uint64_t tokens);
 
 /* Adds or updates a chat, as the newest; a full table drops the oldest.
-** `where` is a target name or ""; `tokens` is the length of the cached
+** `target` is a target name or ""; `tokens` is the length of the cached
 ** prefix. */
-void pwchat_put(pw_chats *c, const char *chat, const char *where,
+void pwchat_put(pw_chats *c, const char *chat, const char *target,
                 uint32_t tokens, int64_t now);
 
-/* Looks up a chat; 0: unknown or expired. `where` and `tokens` may be NULL. */
-int pwchat_get(pw_chats *c, const char *chat, char where[PW_NAME_MAX],
+/* Looks up a chat; 0: unknown or expired. `target` and `tokens` may be NULL. */
+int pwchat_get(pw_chats *c, const char *chat, char target[PW_NAME_MAX],
                uint32_t *tokens, int64_t now);
 
 /* The time with which a chat was last put; INT64_MIN when unknown. */
--- a/packages/policy/pwcoalesce.c
+++ b/packages/policy/pwcoalesce.c
@@ -2,9 +2,12 @@
 ** watchers. */
 #include "pwcoalesce.h"
 
-#define LEAST_MS 30
-#define MS_PER_RELYING 2.0  /* as much as a table of changes to each */
-#define MS_PER_WATCHER 0.25 /* a message of a few bytes to each */
+#define LEAST_MS 30 /* shortest interval */
+
+/* Interval in ms for each watcher: one that relies on this instance for all
+** changes is sent a table of them, any other one a message of a few bytes. */
+#define MS_PER_RELYING 2.0
+#define MS_PER_WATCHER 0.25
 
 static int64_t at_least(double ms) {
   return ms > LEAST_MS ? (int64_t)ms : LEAST_MS;
--- a/packages/policy/pwcoalesce.h
+++ b/packages/policy/pwcoalesce.h
@@ -1,4 +1,5 @@
-/* pwcoalesce.h: how long updates are coalesced before they are sent to watchers.
+/* pwcoalesce.h: how long updates are coalesced before they are sent to
+** watchers.
 **
 ** Pure. The problem: after a loss of all targets, hundreds of them return
 ** within seconds, a change every few ms, and hundreds of gateways have to be
@@ -17,8 +18,8 @@
 ** that leave. */
 int64_t pwcoalesce_targets_ms(int relying, int others);
 
-/* Interval between notices of new versions, of the configuration and others, to
-** all watchers, ms. */
+/* Interval between notices to all watchers of new versions, such as that of the
+** configuration, ms. */
 int64_t pwcoalesce_versions_ms(int watchers);
 
 #endif
--- a/packages/policy/pwcold.c
+++ b/packages/policy/pwcold.c
@@ -6,14 +6,15 @@
 #define MS_PER_S 1000.0
 
 /* Share of a cold target's rate that the gateways divide among them. It is
-** above 1 since a turn is only used when a request arrives. With 1, 4, 23 and
-** 103 gateways and three times the load, a cold target of 23 requests a second
-** gets 21, 21, 18 and 9, at most 29 in any second of 200 runs (it can take
-** 39). With 0.8 it gets 15, 15, 13 and 6, with 1.6 at most 34 (test_cold). */
+** above 1 since a gateway's turn passes unused until a request arrives. With 1,
+** 4, 23 and 103 gateways and three times the load, a cold target of 23 requests
+** a second gets 21, 21, 18 and 9, at most 29 in any second of 200 runs (it can
+** take 39). With 0.8 it gets 15, 15, 13 and 6, with 1.6 at most 34
+** (test_cold). */
 #define USED_SHARE 1.2
 
-/* A turn that is used late by less than this part of the interval does not
-** delay the next one. */
+/* A request that is late for its turn by less than this part of the interval
+** does not delay the next one. */
 #define LATE_SHARE 0.25
 
 int pwcold_is_cold(const pw_cold *c, const pw_cold_service *s, int64_t now) {
--- a/packages/policy/pwcold.h
+++ b/packages/policy/pwcold.h
@@ -12,31 +12,33 @@
 
 #include <stdint.h>
 
-/* What the settings of a service say of its cold targets. */
+/* A service's settings for cold targets. */
 typedef struct pw_cold_service {
   int64_t ms;   /* longest time that a target is cold; 0: never cold */
-  double per_s; /* requests a second that one takes, from all gateways */
+  double per_s; /* requests a second that a cold target takes in total */
 } pw_cold_service;
 
-/* What is known of one target, and when this gateway may send to it. */
+/* Cold phase of one target, and when this gateway may send to it. */
 typedef struct pw_cold {
   int64_t until; /* the target reported that it is cold until then, ms */
-  int64_t
-      maybe_cold_at; /* it may have restarted unnoticed by then, ms; 0: it has
-                       not */
-  int64_t next_at;   /* next request of this gateway while cold; 0: not set */
+  /* When the target may have turned cold without a heartbeat that says so, ms;
+  ** 0: it has not. */
+  int64_t maybe_cold_at;
+  /* When this gateway may send the next request while the target is cold, ms;
+  ** 0: not set. */
+  int64_t next_at;
 } pw_cold;
 
 /* Whether the target is cold, or has to be treated as cold. */
 int pwcold_is_cold(const pw_cold *c, const pw_cold_service *s, int64_t now);
 
-/* Whether this gateway may send it a request now. `part` is this gateway's
-** share of all requests, above 0 and at most 1; `draw` is uniform in [0,
-** 1). */
+/* Whether this gateway may send the target a request now. `part` is this
+** gateway's share of all requests, above 0 and at most 1; `draw` is uniform in
+** [0, 1). */
 int pwcold_may_send(pw_cold *c, const pw_cold_service *s, double part,
                     double draw, int64_t now);
 
-/* A request is sent to it now. */
+/* Records that this gateway sends the target a request now. */
 void pwcold_sent(pw_cold *c, const pw_cold_service *s, double part,
                  int64_t now);
 
--- a/packages/policy/pwmesh.h
+++ b/packages/policy/pwmesh.h
@@ -15,7 +15,7 @@
 
 #include <stdint.h>
 
-/* A peer is dropped when nothing has named it for this time, ms. */
+/* A peer that no message has named for this time is dropped, ms. */
 #define PWMESH_FORGET_MS 20000
 
 /* A peer that has not sent a watch for this time does not receive updates from
@@ -33,7 +33,7 @@
 typedef struct pw_mesh_peer {
   char addr[PW_NAME_MAX];
   int is_member;      /* of the consensus group, as far as is known here */
-  int64_t named_at;   /* when it was last named, ms */
+  int64_t named_at;   /* when a message last named it, ms */
   int64_t watched_at; /* when it last watched for all updates, ms; 0: never */
   uint64_t holds; /* it has all updates of this instance up to this number */
   pw_sequence received; /* which of its updates have arrived here */
--- a/packages/policy/pwmove.h
+++ b/packages/policy/pwmove.h
@@ -3,9 +3,9 @@
 **
 ** One model for waiting, moving and computing, from the rates seen at the
 ** target: ms a token to compute a prompt, and ms a token to import another
-** target's KV cache. Imports are tried only where they are allowed, and are
-** given up where they turn out slower than computing; now and then one is
-** tried again. */
+** target's KV cache. Imports are tried only where they are allowed. Where they
+** are slower than computing they stop, but for one in PWMOVE_TRY_EVERY
+** chances. */
 #ifndef PWMOVE_H
 #define PWMOVE_H
 
--- a/packages/policy/pwpace.c
+++ b/packages/policy/pwpace.c
@@ -9,9 +9,9 @@
 ** second. */
 #define BULK_SHARE 0.5
 
-/* Bulk data may be passed on this many ms ahead: enough for many small pieces
-** in one turn of the event loop, and less than an urgent message can wait (50
-** ms). */
+/* Bulk data may be queued this many ms ahead: enough for many small pieces in
+** one iteration of the event loop, and less than an urgent message can wait
+** (50 ms). */
 #define AHEAD_MS 20
 
 pw_pace pwpace_of(double link_mbps) {
--- a/packages/policy/pwpace.h
+++ b/packages/policy/pwpace.h
@@ -1,9 +1,10 @@
 /* pwpace.h: pacing of bulk data on a link that urgent messages share.
 **
 ** Pure: time comes in as an argument. Prevents this failure: tables of all
-** targets and long configurations, wanted by a hundred receivers at once, are
-** many times what the link of a control instance carries in a second. Votes,
-** leases and acknowledgements would wait behind whatever is queued there. */
+** targets and long configurations, requested by a hundred receivers at once,
+** are many times what the link of a control instance carries in a second.
+** Votes, leases and acknowledgements would wait behind whatever is queued
+** there. */
 #ifndef PWPACE_H
 #define PWPACE_H
 
@@ -12,7 +13,7 @@
 
 typedef struct pw_pace {
   double bits_per_ms; /* rate of bulk data; 0: no limit */
-  int64_t free_at;    /* when everything passed on so far has been sent, ms */
+  int64_t free_at;    /* when all bulk data queued so far will be sent, ms */
 } pw_pace;
 
 /* Pacing of bulk data on a link of that many Mbit/s; 0: no limit. */
@@ -21,7 +22,7 @@
 /* Whether the next piece of bulk data may be sent. */
 int pwpace_has_room(const pw_pace *p, int64_t now);
 
-/* A piece of so many bytes is sent. */
+/* Counts a piece of that many bytes as sent. */
 void pwpace_take(pw_pace *p, size_t bytes, int64_t now);
 
 #endif
--- a/packages/policy/pwpick.c
+++ b/packages/policy/pwpick.c
@@ -16,7 +16,7 @@
 #define TIGHT_TIMES 1.15
 #define TIGHT_EXTRA 2.0
 
-/* Requests that a target may hold above its multiple of the mean. UNSEEN_TIMES
+/* Requests that a target may have above its multiple of the mean. UNSEEN_TIMES
 ** times the requests not visible yet are subtracted, down to EXTRA_LEAST, the
 ** least that still leaves room for homes. */
 #define EXTRA_MOST 3.0
@@ -84,7 +84,7 @@
   return t->is_usable && t->load < t->slots && t->load + 1 <= limit;
 }
 
-static int may_hold_prompts(const pw_pick *t, double limit) {
+static int may_have_prompts(const pw_pick *t, double limit) {
   (void)limit;
   return t->is_alive && !t->is_new;
 }
@@ -140,7 +140,7 @@
 }
 
 int pwpick_holder(const pw_pick *t, int n, uint64_t key) {
-  return first_in_order(t, n, key, may_hold_prompts, 0);
+  return first_in_order(t, n, key, may_have_prompts, 0);
 }
 
 double pwpick_wait(const pw_pick *t) {
--- a/packages/policy/pwpick.h
+++ b/packages/policy/pwpick.h
@@ -38,7 +38,7 @@
 typedef enum pw_pick_policy {
   PWPICK_BY_HOME, /* the prompt's home within the bound, or else by load */
   PWPICK_BY_LOAD, /* the shortest expected wait */
-  PWPICK_BY_ROUND_ROBIN, /* round robin */
+  PWPICK_BY_ROUND_ROBIN, /* the usable targets in turn */
   PWPICK_BY_HASH         /* the prompt's home, however loaded it is */
 } pw_pick_policy;
 
--- a/packages/policy/pwplace.c
+++ b/packages/policy/pwplace.c
@@ -14,8 +14,8 @@
   int n;
   int weighted; /* the weights differ */
   pw_place_target *t;
-  uint16_t (
-      *slot)[PW_PLACEMENT_RANKS]; /* indexes into t, best first, or NONE */
+  /* Row of each slot: indexes into t, best first, or NONE. */
+  uint16_t (*slot)[PW_PLACEMENT_RANKS];
 };
 
 uint64_t pwplace_id(const char *name) {
@@ -85,8 +85,8 @@
 
 /* Copies a row of the old table and adds the new targets. A row that lost a
 ** target is computed from all targets. */
-static void carry_slot(const pw_place *p, const pw_place *old, uint32_t slot,
-                       const uint16_t *now_at, const int *added, int nadded) {
+static void update_slot(const pw_place *p, const pw_place *old, uint32_t slot,
+                        const uint16_t *now_at, const int *added, int nadded) {
   double scores[PW_PLACEMENT_RANKS];
   uint16_t *row = p->slot[slot];
   for (int j = 0; j < PW_PLACEMENT_RANKS; j++) {
@@ -116,8 +116,8 @@
   return t ? (int)(t - p->t) : -1;
 }
 
-/* Fills the table from the old one. */
-static void carry(const pw_place *p, const pw_place *old) {
+/* Fills the table from the old one, row by row. */
+static void update_slots(const pw_place *p, const pw_place *old) {
   uint16_t *now_at = pw_alloc(sizeof *now_at * (size_t)(old->n + 1));
   int *added = pw_alloc(sizeof *added * (size_t)(p->n + 1));
   int nadded = 0;
@@ -132,7 +132,7 @@
       added[nadded++] = i;
   }
   for (uint32_t s = 0; s < PW_PLACEMENT_SLOTS; s++)
-    carry_slot(p, old, s, now_at, added, nadded);
+    update_slot(p, old, s, now_at, added, nadded);
   free(now_at);
   free(added);
 }
@@ -148,7 +148,7 @@
     p->weighted |= p->t[i].weight != p->t[0].weight;
   p->slot = pw_alloc(sizeof *p->slot * PW_PLACEMENT_SLOTS);
   if (old && old->n && old->weighted == p->weighted) {
-    carry(p, old);
+    update_slots(p, old);
     return p;
   }
   for (uint32_t s = 0; s < PW_PLACEMENT_SLOTS; s++)
--- a/packages/policy/pwplace.h
+++ b/packages/policy/pwplace.h
@@ -1,9 +1,10 @@
 /* pwplace.h: home of a chat by rendezvous hashing through a slot table.
 **
-** A chat's key maps to one of PW_PLACEMENT_SLOTS slots; each slot ranks its PW_PLACEMENT_RANKS
-** best targets by weighted rendezvous score. A pick is one table read however
-** many targets there are; a target that joins or leaves only changes the slots
-** that it is ranked in. Tables are immutable and may be read by any thread. */
+** A chat's key maps to one of PW_PLACEMENT_SLOTS slots; each slot ranks its
+** PW_PLACEMENT_RANKS best targets by weighted rendezvous score. A pick is one
+** table read however many targets there are; a target that joins or leaves
+** only changes the slots that it is ranked in. Tables are immutable and may be
+** read by any thread. */
 #ifndef PWPLACE_H
 #define PWPLACE_H
 
@@ -36,7 +37,8 @@
 /* Target id at a rank (0 is the home) for a key; 0: there are fewer targets. */
 uint64_t pwplace_rank(const pw_place *p, uint64_t key, int rank);
 
-/* The same computed from the definition over all targets; for tests. */
+/* The result of pwplace_rank, computed by its definition over all targets; for
+** tests. */
 uint64_t pwplace_naive(const pw_place_target *t, int n, uint64_t key, int rank);
 
 #endif
--- a/packages/policy/pwplan.h
+++ b/packages/policy/pwplan.h
@@ -1,8 +1,8 @@
 /* pwplan.h: which target is to load which version of a model next.
 **
-** The control leader asks repeatedly. Each step goes through the replicated
-** log before the next one is asked for, so that a new leader continues where
-** the old one was, and a leader that was cut off has no effect. */
+** The control leader calls pwplan_next repeatedly. Each step is committed to
+** the replicated log before the next call, so that a new leader continues where
+** the old one stopped, and a leader that was cut off has no effect. */
 #ifndef PWPLAN_H
 #define PWPLAN_H
 
@@ -11,10 +11,12 @@
 #include <stdint.h>
 
 #define PWPLAN_OUT_SHARE 0.1 /* share of a pool that may be out of service */
-#define PWPLAN_FAILURES_MAX                                                    \
-  3 /* failures from which on no one waits for a target */
-#define PWPLAN_RETRY_MS 1000
-#define PWPLAN_RETRY_MAX_MS 60000
+#define PWPLAN_RETRY_MS 1000 /* first backoff after a failed load */
+#define PWPLAN_RETRY_MAX_MS 60000 /* longest backoff */
+
+/* Failed loads in a row from which on a target is left out of
+** PWPLAN_OUT_SHARE. */
+#define PWPLAN_FAILURES_MAX 3
 
 /* A target that may serve the model. */
 typedef struct pw_plan_slot {
@@ -27,7 +29,7 @@
   int load_ended;          /* its agent has finished the order */
   int loaded;              /* the version was loaded and is still there */
   int failures;            /* loads that failed in a row */
-  int64_t retry_at;        /* after a failed load: not before this, ms */
+  int64_t retry_at;        /* earliest next load after a failed one, ms */
 } pw_plan_slot;
 
 typedef struct pw_plan_input {
@@ -39,10 +41,10 @@
 
 typedef enum pw_plan_kind {
   PW_PLAN_NONE,
-  PW_PLAN_LOAD,  /* take it out of service if necessary, and load */
+  PW_PLAN_LOAD,  /* take the target out of service if necessary, and load */
   PW_PLAN_SERVE, /* the version is loaded: put it into service */
   PW_PLAN_PAUSE, /* the target lost the version: take it out of service */
-  PW_PLAN_RETIRE /* it is not to serve the model any more */
+  PW_PLAN_RETIRE /* the target is not to serve the model any more */
 } pw_plan_kind;
 
 typedef struct pw_plan_step {
--- a/packages/policy/pwquarantine.c
+++ b/packages/policy/pwquarantine.c
@@ -12,13 +12,13 @@
 ** 100,000 does not arrive. */
 #define SENDS 5
 
-/* Interval in ms at which requests in quarantine are sent again. An instance
-** that starts knows them before it is given its first requests, after at least
-** 3 s. */
+/* Interval in ms at which requests in quarantine are announced again, so that
+** an instance that starts knows them before it gets its first requests, after
+** at least 3 s. */
 #define REFRESH_MS 1000
 
-/* Time in ms after an answer in which no crash is counted: requests that
-** callers send alike are answered again within seconds. A request that crashes
+/* Time in ms after an answer in which no crash is counted: a request that many
+** callers send alike is answered again within seconds. A request that crashes
 ** targets only since a new version is detected that much later. */
 #define ANSWERED_MS 10000
 
@@ -27,14 +27,14 @@
 ** request that many callers send alike must not be refused for minutes after a
 ** loss of all targets. If it is the cause after all, since a new version, each
 ** time costs one more crash. */
-#define ANSWERED_HOLD_MS 5000
+#define ANSWERED_QUARANTINE_MS 5000
 
 #define ANSWERED_SLOTS 4096 /* answered requests remembered; a power of two */
 
-/* Crashes from which on an answer is announced to other instances. A single
-** crash is common, as each crash counts for all requests that the target was
-** running, and has no effect by itself. */
-#define TAKE_BACK_LEAST 2
+/* Crashes from which on an answer that retracts them is announced to the other
+** instances. A single crash is common, as each crash counts for all requests
+** that the target was running, and has no effect by itself. */
+#define RETRACT_LEAST 2
 
 /* A crash of the same incarnation that is seen this many ms later is another
 ** crash. All instances see one crash within the time after which a silent
@@ -48,13 +48,13 @@
 /* A request that was running at targets when they crashed, or that was answered
 ** after that. */
 typedef struct quar_case {
-  pw_quar_row row; /* without its age */
-  int64_t at;      /* time of the newest crash, or of the answer, ms */
-  int64_t held_at; /* start of its quarantine, ms; 0: not in quarantine */
-  int64_t hold_ms; /* length of its quarantine */
-  int holds;       /* quarantines that have ended since it was answered */
+  pw_quar_row row;        /* without its age */
+  int64_t at;             /* time of the newest crash, or of the answer, ms */
+  int64_t quarantined_at; /* start of its quarantine, ms; 0: it is in none */
+  int64_t quarantine_ms;  /* length of its quarantine, ms */
+  int quarantines; /* quarantines that have ended since it was answered */
   int sends;       /* how often the newest change was sent */
-  int64_t sent_at;
+  int64_t sent_at; /* time of the newest send, ms */
   UT_hash_handle hh;
 } quar_case;
 
@@ -66,7 +66,7 @@
 
 struct pw_quarantine {
   quar_case *cases;
-  int held;    /* cases in quarantine */
+  int nquarantined; /* cases in quarantine */
   int nunsent; /* cases whose newest change was sent less than SENDS times */
   int64_t total;
   answered answered[ANSWERED_SLOTS];
@@ -77,7 +77,7 @@
 }
 
 static void drop(pw_quarantine *q, quar_case *c) {
-  q->held -= c->held_at != 0;
+  q->nquarantined -= c->quarantined_at != 0;
   q->nunsent -= c->sends < SENDS;
   HASH_DEL(q->cases, c);
   free(c);
@@ -104,7 +104,7 @@
   if (HASH_COUNT(q->cases) < CASES_MAX)
     return;
   quar_case *c = q->cases;
-  while (c && c->held_at)
+  while (c && c->quarantined_at)
     c = c->hh.next;
   drop(q, c ? c : q->cases);
 }
@@ -129,53 +129,54 @@
   return a->fingerprint == fingerprint && now - a->at < ANSWERED_MS;
 }
 
-/* Length of the next quarantine, after `holds` of them since its answer. */
-static int64_t hold_of(pw_quarantine *q, uint64_t fingerprint, int holds,
-                       int64_t now) {
+/* Length in ms of the next quarantine of a request, after `ended` of them since
+** its answer. */
+static int64_t quarantine_length(pw_quarantine *q, uint64_t fingerprint,
+                                 int ended, int64_t now) {
   const answered *a = slot_of(q, fingerprint);
   if (a->fingerprint != fingerprint || now - a->at >= PW_QUARANTINE_MS)
     return PW_QUARANTINE_MS;
-  int64_t ms = ANSWERED_HOLD_MS;
-  for (int i = 0; i < holds && ms < PW_QUARANTINE_MS; i++)
+  int64_t ms = ANSWERED_QUARANTINE_MS;
+  for (int i = 0; i < ended && ms < PW_QUARANTINE_MS; i++)
     ms *= 2;
   return ms < PW_QUARANTINE_MS ? ms : PW_QUARANTINE_MS;
 }
 
-/* Has the case sent to the other instances from the beginning. */
+/* Makes a changed case due to be sent to the other instances SENDS times. */
 static void mark_changed(pw_quarantine *q, quar_case *c) {
   q->nunsent += c->sends >= SENDS;
   c->sends = 0;
 }
 
 static void release(pw_quarantine *q, quar_case *c, int64_t at) {
-  c->holds = 0;
-  q->held -= c->held_at != 0;
-  c->held_at = 0;
+  c->quarantines = 0;
+  q->nquarantined -= c->quarantined_at != 0;
+  c->quarantined_at = 0;
   c->row.n = 0;
   c->at = at;
   mark_changed(q, c);
 }
 
-/* It was answered at `at`: the crashes before that are taken back, at other
-** instances as well if there are several. */
-static pw_quar_change take_back(pw_quarantine *q, uint64_t fingerprint,
-                                int64_t at) {
+/* Retracts the crashes counted before an answer at `at`. If there are several,
+** the answer is announced to the other instances. */
+static pw_quar_change retract(pw_quarantine *q, uint64_t fingerprint,
+                              int64_t at) {
   quar_case *c = find(q, fingerprint);
   if (!c || c->row.n == 0)
     return PWQUAR_UNCHANGED;
-  if (c->row.n < TAKE_BACK_LEAST) {
+  if (c->row.n < RETRACT_LEAST) {
     drop(q, c);
     return PWQUAR_UNCHANGED;
   }
-  int was_held = c->held_at != 0;
+  int was_quarantined = c->quarantined_at != 0;
   release(q, c, at);
-  return was_held ? PWQUAR_RELEASED : PWQUAR_UNCHANGED;
+  return was_quarantined ? PWQUAR_RELEASED : PWQUAR_UNCHANGED;
 }
 
 pw_quar_change pwquar_answered(pw_quarantine *q, uint64_t fingerprint,
                                int64_t now) {
   *slot_of(q, fingerprint) = (answered){fingerprint, now};
-  return take_back(q, fingerprint, now);
+  return retract(q, fingerprint, now);
 }
 
 /* --- crashes --- */
@@ -197,12 +198,14 @@
 }
 
 /* Puts the request in quarantine if enough targets have crashed. */
-static pw_quar_change check_hold(pw_quarantine *q, quar_case *c, int64_t at) {
-  if (c->row.n < PW_QUARANTINE_CRASHES || c->held_at)
+static pw_quar_change check_quarantine(pw_quarantine *q, quar_case *c,
+                                       int64_t at) {
+  if (c->row.n < PW_QUARANTINE_CRASHES || c->quarantined_at)
     return PWQUAR_CRASHED;
-  c->held_at = at;
-  c->hold_ms = hold_of(q, c->row.fingerprint, c->holds, at);
-  q->held++;
+  c->quarantined_at = at;
+  c->quarantine_ms =
+      quarantine_length(q, c->row.fingerprint, c->quarantines, at);
+  q->nquarantined++;
   return PWQUAR_BEGUN;
 }
 
@@ -227,16 +230,16 @@
     return PWQUAR_UNCHANGED;
   q->total++;
   c->at = now;
-  return check_hold(q, c, now);
+  return check_quarantine(q, c, now);
 }
 
 int64_t pwquar_left(const pw_quarantine *q, uint64_t fingerprint, int64_t now) {
-  if (!q->held)
+  if (!q->nquarantined)
     return 0;
   const quar_case *c = find(q, fingerprint);
-  if (!c || !c->held_at)
+  if (!c || !c->quarantined_at)
     return 0;
-  int64_t left = c->held_at + c->hold_ms - now;
+  int64_t left = c->quarantined_at + c->quarantine_ms - now;
   return left > 0 ? left : 0;
 }
 
@@ -248,12 +251,13 @@
 /* --- updates between instances --- */
 
 static int is_due(const quar_case *c, int64_t now) {
-  return c->sends < SENDS || (c->held_at && now - c->sent_at >= REFRESH_MS);
+  return c->sends < SENDS ||
+         (c->quarantined_at && now - c->sent_at >= REFRESH_MS);
 }
 
 static pw_quar_row row_of(const quar_case *c, int64_t now) {
   pw_quar_row row = c->row;
-  row.age_ms = now - (c->held_at ? c->held_at : c->at);
+  row.age_ms = now - (c->quarantined_at ? c->quarantined_at : c->at);
   return row;
 }
 
@@ -271,7 +275,7 @@
 ** crashes does not delay newer changes. */
 size_t pwquar_updates(pw_quarantine *q, pw_quar_row *row, int64_t now) {
   size_t n = 0;
-  if (!q->nunsent && !q->held)
+  if (!q->nunsent && !q->nquarantined)
     return 0;
   for (int sends = 0; sends <= SENDS && n < PWQUAR_ROWS; sends++)
     for (quar_case *c = q->cases; c && n < PWQUAR_ROWS; c = c->hh.next)
@@ -284,7 +288,7 @@
                    int64_t now) {
   size_t n = 0, seen = 0;
   for (const quar_case *c = q->cases; c && n < PWQUAR_ROWS; c = c->hh.next) {
-    if (!c->held_at && c->row.n)
+    if (!c->quarantined_at && c->row.n)
       continue;
     if (seen++ < *at)
       continue;
@@ -294,16 +298,17 @@
   return n;
 }
 
-/* Takes in an answer that another instance saw. */
+/* Applies an answer that another instance announced. */
 static pw_quar_change receive_answer(pw_quarantine *q, const pw_quar_row *row,
                                      int64_t now) {
   answered *a = slot_of(q, row->fingerprint);
   if (a->fingerprint != row->fingerprint || a->at < now - row->age_ms)
     *a = (answered){row->fingerprint, now - row->age_ms};
-  return take_back(q, row->fingerprint, now - row->age_ms);
+  return retract(q, row->fingerprint, now - row->age_ms);
 }
 
-/* Announces that the request was answered here, against a row with crashes. */
+/* Announces that the request was answered here, in reply to a row with crashes
+** from another instance. */
 static void contradict(pw_quarantine *q, uint64_t fingerprint) {
   quar_case *c = find(q, fingerprint);
   if (!c)
@@ -319,15 +324,16 @@
   if (row->n == 0)
     return receive_answer(q, row, now);
   if (was_answered(q, row->fingerprint, now)) {
-    if (row->n >= TAKE_BACK_LEAST)
+    if (row->n >= RETRACT_LEAST)
       contradict(q, row->fingerprint);
     return PWQUAR_UNCHANGED;
   }
   quar_case *c = find(q, row->fingerprint);
-  int holds = c ? c->holds : 0;
+  int ended = c ? c->quarantines : 0;
   if (row->n == PW_QUARANTINE_CRASHES &&
-      row->age_ms >= hold_of(q, row->fingerprint, holds ? holds - 1 : 0, now))
-    return PWQUAR_UNCHANGED; /* that quarantine has ended here */
+      row->age_ms >=
+          quarantine_length(q, row->fingerprint, ended ? ended - 1 : 0, now))
+    return PWQUAR_UNCHANGED; /* the quarantine has ended here */
   if (!c)
     c = add(q, row->fingerprint);
   int added = 0;
@@ -337,17 +343,17 @@
     return PWQUAR_UNCHANGED;
   q->total += added;
   c->at = now - row->age_ms;
-  return check_hold(q, c,
-                    row->n == PW_QUARANTINE_CRASHES ? now - row->age_ms : now);
+  return check_quarantine(
+      q, c, row->n == PW_QUARANTINE_CRASHES ? now - row->age_ms : now);
 }
 
-/* --- upkeep --- */
+/* --- expiry --- */
 
 /* The request may run again, and one more crash begins the next quarantine. */
 static void end_quarantine(pw_quarantine *q, quar_case *c, int64_t now) {
-  q->held--;
-  c->held_at = 0;
-  c->holds++;
+  q->nquarantined--;
+  c->quarantined_at = 0;
+  c->quarantines++;
   c->row.n = PW_QUARANTINE_CRASHES - 1;
   c->at = now;
   q->nunsent -= c->sends < SENDS;
@@ -357,9 +363,9 @@
 void pwquar_tick(pw_quarantine *q, int64_t now) {
   quar_case *c, *tmp;
   HASH_ITER(hh, q->cases, c, tmp) {
-    if (c->held_at && now - c->held_at >= c->hold_ms)
+    if (c->quarantined_at && now - c->quarantined_at >= c->quarantine_ms)
       end_quarantine(q, c, now);
-    else if (!c->held_at && now - c->at >= PW_QUARANTINE_MS)
+    else if (!c->quarantined_at && now - c->at >= PW_QUARANTINE_MS)
       drop(q, c);
     else if (c->row.n == 0 && now - c->at >= ANSWERED_MS)
       drop(q, c);
@@ -367,7 +373,7 @@
 }
 
 int pwquar_count(const pw_quarantine *q) {
-  return q->held;
+  return q->nquarantined;
 }
 
 int64_t pwquar_total(const pw_quarantine *q) {
--- a/packages/policy/pwquarantine.h
+++ b/packages/policy/pwquarantine.h
@@ -9,7 +9,7 @@
 ** nowhere from PW_QUARANTINE_CRASHES crashes on.
 **
 ** A request that a target answered with success is not the cause. An answer
-** takes back all crashes counted before it, at every instance, and for a while
+** retracts all crashes counted before it, at every instance, and for a while
 ** no crash is counted. So a request that many callers send alike, such as a
 ** status query, stays out of quarantine when several targets running it crash
 ** at the same time for another reason. */
@@ -27,18 +27,19 @@
 
 /* What a call changed. */
 typedef enum pw_quar_change {
-  PWQUAR_UNCHANGED, /* nothing: it was known before */
+  PWQUAR_UNCHANGED, /* nothing: the call reported what was known */
   PWQUAR_CRASHED,   /* another target has crashed while running the request */
-  PWQUAR_BEGUN,     /* ... and the request is in quarantine from now on */
-  PWQUAR_RELEASED   /* it was in quarantine, and is not the cause after all */
+  PWQUAR_BEGUN,     /* the same, and the quarantine of the request begins */
+  PWQUAR_RELEASED   /* an answer ended the quarantine of the request */
 } pw_quar_change;
 
 /* The state of one request in an update. */
 typedef struct pw_quar_row {
-  uint64_t fingerprint;                   /* fingerprint, by pwfingerprint_of */
+  uint64_t fingerprint;                   /* of the request */
   uint64_t target[PW_QUARANTINE_CRASHES]; /* incarnations that crashed */
-  int n;                                  /* of them; 0: it was answered */
-  int64_t age_ms; /* of the quarantine, else of its newest crash or answer */
+  int n; /* number of `target`; 0: the request was answered */
+  /* Age of the quarantine, or else of the newest crash or answer. */
+  int64_t age_ms;
 } pw_quar_row;
 
 pw_quarantine *pwquar_new(void);
@@ -63,8 +64,8 @@
 
 /* Fills in the rows that are due to be sent to other instances, at most
 ** PWQUAR_ROWS, and returns their number. A change is sent several times, since
-** datagrams get lost. What is in quarantine is sent once a second, for
-** instances that have just started. */
+** datagrams get lost. Requests in quarantine are sent once a second,
+** for instances that have just started. */
 size_t pwquar_updates(pw_quarantine *q, pw_quar_row *row, int64_t now);
 
 /* Lists all requests that are in quarantine or were released recently, whether
@@ -73,7 +74,7 @@
 size_t pwquar_list(const pw_quarantine *q, size_t *at, pw_quar_row *row,
                    int64_t now);
 
-/* Takes in a row from another instance. */
+/* Applies a row received from another instance. */
 pw_quar_change pwquar_receive(pw_quarantine *q, const pw_quar_row *row,
                               int64_t now);
 
--- a/packages/policy/pwqueue.c
+++ b/packages/policy/pwqueue.c
@@ -11,8 +11,8 @@
 typedef struct flow {
   char workspace[PW_NAME_MAX];
   double weight;
-  double start; /* virtual time at which its next item may start */
-  double tokens;
+  double start;  /* virtual time at which its next item may start */
+  double tokens; /* sum over its items */
   pw_item *item;
   int n;
   int cap;
@@ -209,7 +209,8 @@
       weights += f->weight;
     }
   }
-  /* Of the others only their share goes first, while its own ones drain. */
+  /* Other workspaces go first only by their share, while the requests of this
+  ** workspace drain. */
   double share = weights > 0 ? weight / weights : 1;
   double fair = own / share - own;
   return own + (others < fair ? others : fair);
--- a/packages/policy/pwqueue.h
+++ b/packages/policy/pwqueue.h
@@ -14,12 +14,12 @@
 
 typedef struct pw_item {
   char workspace[PW_NAME_MAX];
-  double weight; /* >= 1 */
-  int priority;  /* 0 to 9 */
-  double cost;   /* tokens */
-  int64_t deadline;
-  int64_t since; /* when it was queued, ms */
-  void *job;     /* belongs to the caller */
+  double weight;    /* >= 1 */
+  int priority;     /* 0 to 9 */
+  double cost;      /* tokens */
+  int64_t deadline; /* ms */
+  int64_t since;    /* when it was queued, ms */
+  void *job;        /* belongs to the caller */
 } pw_item;
 
 typedef struct pw_queue pw_queue;
--- a/packages/policy/pwreject.h
+++ b/packages/policy/pwreject.h
@@ -11,8 +11,8 @@
 ** each gateway waited for a connection to each of them, a third of a second
 ** each time.
 **
-** Targets that are full are not meant: then all refuse alike, and gateways see
-** it by the loads. */
+** Full targets are not recorded here: gateways see from the loads that all of
+** them refuse alike. */
 #ifndef PWREJECT_H
 #define PWREJECT_H
 
@@ -26,7 +26,8 @@
 /* The target did not take a request. */
 void pwreject_note(pw_reject *r, int64_t now);
 
-/* Whether that was so recent that other targets are preferred. */
+/* Whether the target failed to take a request so recently that other targets
+** are preferred. */
 int pwreject_is_recent(const pw_reject *r, int64_t now);
 
 /* Whether a target that refused a request had room for it, with `load` requests
--- a/packages/policy/pwretries.c
+++ b/packages/policy/pwretries.c
@@ -1,8 +1,8 @@
 /* pwretries.c: a retry budget over a sliding window. */
 #include "pwretries.h"
 
-/* Share of the budget that is spent. The rest allows for requests that count in
-** another window elsewhere and for retries in flight. */
+/* Share of the budget that is spent. The rest allows for requests that other
+** gateways count in another window, and for retries in flight. */
 #define MARGIN 0.7
 
 /* With more than this part of the budget left there is no need to save it. */
@@ -52,7 +52,7 @@
 
 int pwretries_is_scarce(pw_retries *b, int gateways, double draw, int64_t now) {
   cell_of(b, b->retries, now);
-  double may = allowed(b, gateways);
-  double left = may - sum(b->retries);
-  return left < AMPLE_PART * may && draw * AMPLE_PART * may >= left;
+  double most = allowed(b, gateways);
+  double left = most - sum(b->retries);
+  return left < AMPLE_PART * most && draw * AMPLE_PART * most >= left;
 }
--- a/packages/policy/pwrollout.h
+++ b/packages/policy/pwrollout.h
@@ -25,7 +25,7 @@
 typedef enum pw_rollout_state {
   PW_ROLLOUT_DONE,
   PW_ROLLOUT_ROLLING,
-  PW_ROLLOUT_ROLLED_BACK /* rolled back: `from` serves all chats */
+  PW_ROLLOUT_ROLLED_BACK /* `from` serves all chats again */
 } pw_rollout_state;
 
 typedef enum pw_rollout_why {
--- a/packages/policy/pwroute.c
+++ b/packages/policy/pwroute.c
@@ -29,13 +29,14 @@
   return out->usable;
 }
 
-/* The same, without ejected targets. */
+/* Like usable_target, without ejected targets. */
 static int open_target(const pw_route_pool *pool, const pw_route_walk *w,
                        uint64_t id, pw_route_target *out) {
   return usable_target(pool, w, id, out) && !out->ejected;
 }
 
-/* The same, but with those in their slow start after joining. */
+/* Like usable_target, without ejected targets other than those in their slow
+** start after joining. */
 static int prefix_target(const pw_route_pool *pool, const pw_route_walk *w,
                          uint64_t id, pw_route_target *out) {
   return usable_target(pool, w, id, out) && (!out->ejected || out->joining);
@@ -63,7 +64,7 @@
   return 0;
 }
 
-/* The home or the next rank, if it has room; 0: neither. */
+/* The home or the next rank, whichever has room first; 0: neither has. */
 static uint64_t ranked(const pw_route_pool *pool, const pw_route_walk *w) {
   for (int rank = 0; rank < RANKS_SPILLED; rank++) {
     pw_route_target t;
@@ -99,16 +100,17 @@
 
 typedef enum scan_mode { SCAN_FITS, SCAN_OPEN, SCAN_EJECTED } scan_mode;
 
-/* Whether an ejected target may be asked. Where others are merely full it would
-** fail the request instead of a short wait, unless it is new: of 600
+/* Whether an ejected target may be asked. Where others are merely full, it
+** would fail a request that only has to wait shortly, unless it is new: of 600
 ** requests 520 to 549 are answered if ejected targets are asked, and 593 to 598
 ** if they are not. */
 static int may_ask_ejected(const pw_route_target *t, const pw_route_walk *w) {
   return !w->avoid_ejected && (!w->busy || t->joining);
 }
 
-/* The first target from a random position on: one with room, or any open one,
-** or with SCAN_EJECTED an ejected one, since no answer would be worse. */
+/* The first target from a random position on that has room (SCAN_FITS), that is
+** not ejected (SCAN_OPEN), or that may be ejected (SCAN_EJECTED), since no
+** answer would be worse. */
 static uint64_t scan(const pw_route_pool *pool, const pw_route_walk *w,
                      uint64_t draw, scan_mode mode) {
   for (int i = 0; i < pool->n && i < SCAN_MAX; i++) {
@@ -135,8 +137,8 @@
   return id;
 }
 
-/* The target to queue at: the one of those that refused with the shortest wait,
-** less what a prefix cached there is worth. */
+/* The target to queue at: of those that refused, the one with the shortest
+** wait, less what a prefix cached there is worth. */
 static uint64_t queue_at(const pw_route_pool *pool, const pw_route_walk *w) {
   int64_t least = 0;
   uint64_t best = 0;
@@ -187,7 +189,8 @@
     w->busy = QUEUE_AFTER;
     return pwroute_next(pool, w);
   }
-  /* A refusal would only bring the request back there to wait. */
+  /* If the only open target refused, the request would be sent there again to
+  ** wait. */
   if (pick.id && !pick.need_prefix && !w->busy)
     pick.may_queue = is_only_open(pool, w, pick.id);
   w->is_sole = pick.may_queue;
--- a/packages/policy/pwroute.h
+++ b/packages/policy/pwroute.h
@@ -11,10 +11,12 @@
 typedef struct pw_route_target {
   uint64_t id;
   int usable; /* may take work */
-  int ejected; /* ejected: breaker open, or unresponsive; used as a last resort */
-  int joining; /* ejected only for its slow start: it may still be asked for a
-                  cached prefix */
-  uint32_t availability_zone; /* as a number of the caller's choosing */
+  /* Its breaker is open, or it is unresponsive: it is used as a last resort. */
+  int ejected;
+  /* It is ejected only for its slow start: it may still be asked for a cached
+  ** prefix. */
+  int joining;
+  uint32_t availability_zone; /* a number chosen by the caller */
   double load;  /* tokens in progress: last report plus what was sent since */
   double limit; /* load it may have, as far as the entry knows */
 } pw_route_target;
@@ -37,20 +39,19 @@
   uint32_t availability_zone;
   double cost;
   int returning;    /* the chat has a cached prefix that is worth a hop */
-  uint64_t pointer; /* target said to have the prefix; 0: none */
+  uint64_t pointer; /* target reported to have the prefix; 0: none */
   int asked_prefix; /* ranks that were asked with need_prefix */
   int prefix_done;  /* no target is asked for the prefix any more */
   uint64_t tried[PWROUTE_TRIED_MAX];
-  int64_t
-      wait[PWROUTE_TRIED_MAX]; /* estimated wait there in ms, less what a prefix
-                                  cached there is worth */
+  /* Estimated wait in ms at each of `tried`, less what a prefix cached there is
+  ** worth. */
+  int64_t wait[PWROUTE_TRIED_MAX];
   int ntried;
   int busy;          /* refusals for load */
   int queued;        /* the pick that may queue has been made */
   int is_sole;       /* the last pick was the only open target, and may queue */
   int sole_is_full;  /* that target had no room in its queue either */
-  int avoid_ejected; /* there is another pool to try: ejected targets of this one
-                      are not used */
+  int avoid_ejected; /* another pool can be tried instead of ejected targets */
 } pw_route_walk;
 
 typedef struct pw_route_pick {
@@ -60,9 +61,9 @@
   int is_home;
 } pw_route_pick;
 
-/* The next target to try, in this order: the one said to have the prefix; the
-** home and the next rank, asked for the prefix; the home and the next rank, if
-** they have room; the least loaded of a few random ones that have room, with
+/* The next target to try, in this order: the one reported to have the prefix;
+** the home and the next rank, asked for the prefix; the home and the next rank,
+** if they have room; the least loaded of a few random ones that have room, with
 ** preference for the own availability zone; any usable one. After a few
 ** refusals for load the pool is taken to be full, and the one of those that
 ** refused with the shortest wait is asked to queue the request, the first of
--- a/packages/policy/pwsequence.c
+++ b/packages/policy/pwsequence.c
@@ -11,9 +11,9 @@
   MUT_SAME_LIFE = 43  /* numbers continue through a restart */
 };
 
-/* Takes a full state. It leaves nothing missing unless there is a gap between
-** it and the updates that arrived already. */
-static void take_full(pw_sequence *t, uint64_t number) {
+/* Records a full state. Afterwards nothing is missing, unless there is a gap
+** between the state and the updates that arrived already. */
+static void record_full(pw_sequence *t, uint64_t number) {
   if (!t->is_complete && t->first > number + 1 && PW_MUTATION != MUT_OLD_TABLE)
     return;
   if (number > t->last)
@@ -21,7 +21,7 @@
   t->is_complete = 1;
 }
 
-static void take_update(pw_sequence *t, uint64_t number) {
+static void record_update(pw_sequence *t, uint64_t number) {
   if (number <= t->last)
     return;
   int follows = number == t->last + 1 || PW_MUTATION == MUT_NO_GAP;
@@ -33,13 +33,13 @@
 }
 
 void pwsequence_receive(pw_sequence *t, uint64_t incarnation, uint64_t number,
-                        int has_news, int full) {
+                        int has_update, int full) {
   if (t->incarnation != incarnation && PW_MUTATION != MUT_SAME_LIFE)
     *t = (pw_sequence){.incarnation = incarnation};
   if (full)
-    take_full(t, number);
-  else if (has_news)
-    take_update(t, number);
+    record_full(t, number);
+  else if (has_update)
+    record_update(t, number);
   else if (number > t->last && PW_MUTATION != MUT_NO_LAST)
     *t = (pw_sequence){.incarnation = incarnation};
 }
--- a/packages/policy/pwsequence.h
+++ b/packages/policy/pwsequence.h
@@ -11,19 +11,18 @@
 
 /* What has arrived from one sender. All 0: nothing. */
 typedef struct pw_sequence {
-  uint64_t
-      incarnation; /* incarnation of the sender; its numbers restart with it */
-  int is_complete; /* nothing is missing up to `last` */
-  /* Otherwise the updates from `first` to `last` arrived without a gap; 0:
-  ** none. */
+  uint64_t incarnation; /* of the sender, whose numbers restart with each */
+  int is_complete;      /* nothing is missing up to `last` */
+  /* If not complete: the updates from `first` to `last` arrived without a gap;
+  ** 0: none. */
   uint64_t first, last;
 } pw_sequence;
 
-/* A message of this incarnation arrived. An update (has_news) has this
+/* A message of this incarnation arrived. An update (has_update) has this
 ** sequence number, a message without one names the newest number. With `full`
-** it contains the whole state up to that number. */
+** the message contains the whole state up to that number. */
 void pwsequence_receive(pw_sequence *t, uint64_t incarnation, uint64_t number,
-                        int has_news, int full);
+                        int has_update, int full);
 
 /* The sequence number up to which nothing is missing, for the incarnation last
 ** seen; 0: something may be missing. */
--- a/packages/policy/pwshare.c
+++ b/packages/policy/pwshare.c
@@ -9,19 +9,20 @@
 #define MS_PER_S 1000.0
 
 /* Multiple of the free slots that a gateway may use beyond its share. With 0,
-** 2, 4 and 8 the score (requests answered in time, weighted by class) is 0.90,
-** 0.95, 0.96 and 0.98 at three times the load, and that of the most urgent
-** class 0.77, 0.76, 0.72 and 0.68 at six times. */
+** 2, 4 and 8 the share of requests answered in time, weighted by class, is
+** 0.90, 0.95, 0.96 and 0.98 at three times the load, and that of the most
+** urgent class 0.77, 0.76, 0.72 and 0.68 at six times. */
 #define FREE_TIMES 2
 
-/* While more than this part of the slots is free, no gateway is held to its
-** share. */
+/* While more than this part of the slots is free, no gateway is limited to
+** its share. */
 #define FREE_ENOUGH 0.5
 
 /* Weight of the reserve for more urgent requests in a gateway's share. With 1,
-** 3 and 6 the most urgent class scores 0.76, 0.84 and 0.84 at six times the
-** load, all classes together 0.46, 0.44 and 0.42. */
-#define KEPT_TIMES 3
+** 3 and 6 the share of requests answered in time is 0.76, 0.84 and 0.84 for the
+** most urgent class at six times the load, and 0.46, 0.44 and 0.42 for all
+** classes together, weighted by class. */
+#define RESERVE_TIMES 3
 
 /* Least slots of a gateway, however few requests it gets; up to one more while
 ** slots are free. The reserve for more urgent requests is taken off both. */
@@ -48,5 +49,5 @@
     return slots;
   double limit = share * slots * (1 + FREE_TIMES * free_part);
   double least = SLOTS_LEAST + free_part;
-  return (limit > least ? limit : least) * (1 - KEPT_TIMES * reserved);
+  return (limit > least ? limit : least) * (1 - RESERVE_TIMES * reserved);
 }
--- a/packages/policy/pwshare.h
+++ b/packages/policy/pwshare.h
@@ -28,7 +28,7 @@
 ** total, of which `used` are in use as far as it knows. `mine` and `all` are
 ** the requests a second at this gateway and at all of them, including this
 ** one. While slots are free it may exceed its share. `reserved` is the share of
-** the slots reserved for more urgent requests (pwplaces). */
+** the slots reserved for more urgent requests (pwshed_reserve). */
 double pwshare_slots(double mine, double all, double slots, double used,
                      double reserved);
 
--- a/packages/policy/pwshed.c
+++ b/packages/policy/pwshed.c
@@ -6,30 +6,30 @@
 
 /* The share of a class's requests that may get no slot before its reserve
 ** grows; the step by which it grows for each that gets none; and its maximum.
-** Half or twice of the maximum changes the score by 0.01 at four and six times
-** the baseline load. */
+** Half or twice of the maximum changes the share of requests answered in time
+** (weighted by class) by 0.01 at four and six times the baseline load. */
 #define MISSED_SHARE 0.02
 #define RESERVE_STEP 0.004
 #define RESERVE_MOST 0.1
 
 /* A class whose admitted share is below this part of the overall share may use
 ** slots reserved for others as well: it is served less, but not starved. With
-** 0.5, 0.8 and 0.9, 42 targets at four times the baseline load score 0.690,
-** 0.714 and 0.717 of the possible credit (requests answered in time, weighted
-** by class) and the most urgent class 0.98, 0.98 and 0.97 of its own; at six
-** times the load it is 0.403, 0.417, 0.417 and 0.86, 0.78, 0.76. */
+** 0.5, 0.8 and 0.9, 42 targets at four times the baseline load answer 0.690,
+** 0.714 and 0.717 of all requests in time (weighted by class), and 0.98, 0.98
+** and 0.97 of those of the most urgent class; at six times the load 0.403,
+** 0.417 and 0.417 of all, and 0.86, 0.78 and 0.76 of the most urgent class. */
 #define LEAST_PART 0.8
 
-/* When this share of the first attempts gets no slot, no retry gets one. As
-** many requests fail in the end, but more are answered within their time
-** goal. */
+/* When this share of the first attempts gets no slot, no retry gets one. The
+** number of requests that fail in the end stays the same, but more are answered
+** within their time goal. */
 #define FIRST_MISSED_MAX 0.1
 
 /* Time constant in ms with which the counts decay. */
 #define DECAY_MS 3000.0
 
-/* A caller retries after at most 1 / RETRY_PART of the time it has left, and
-** not before RETRY_LEAST_MS. */
+/* A caller is asked to retry after at most 1 / RETRY_PART of its remaining
+** time, and not before RETRY_LEAST_MS. */
 #define RETRY_PART 3
 #define RETRY_LEAST_MS 100
 
--- a/packages/policy/pwshed.h
+++ b/packages/policy/pwshed.h
@@ -1,5 +1,5 @@
-/* pwshed.h: load shedding by urgency class: who gets a slot at the targets
-** of one service when slots are short.
+/* pwshed.h: load shedding by urgency class: which requests get a slot at the
+** targets of one service when slots are short.
 **
 ** Pure: time comes in as an argument. A request gets a slot at once or is
 ** refused at once. The reserve kept for an urgency class grows with the share
@@ -30,17 +30,17 @@
 
 void pwshed_init(pw_shed *p, int64_t now);
 
-/* Counts a request; `got` tells whether it got a slot. `is_last`: it goes after
-** the others of its class, as a caller's retry does. */
+/* Counts a request. `got`: it got a slot. `is_last`: it goes after the others
+** of its class, as a caller's retry does. */
 void pwshed_note(pw_shed *p, int urgency, int is_last, int got, int64_t now);
 
 /* The share of the slots that a request leaves to more urgent ones. A request
 ** that goes last leaves it to the others of its own class as well. */
 double pwshed_reserve(const pw_shed *p, int urgency, int is_last);
 
-/* Whether a caller's retry may get a slot now. It may while first attempts get
-** theirs; the more of them do not, the fewer retries may. `draw` is uniform in
-** [0, 1). */
+/* Whether a caller's retry may get a slot now. All retries may while first
+** attempts get theirs; the more first attempts get none, the fewer retries may.
+** `draw` is uniform in [0, 1). */
 int pwshed_may_retry(const pw_shed *p, double draw);
 
 /* The share of the recent requests that got a slot, 0 to 1. */
@@ -48,7 +48,8 @@
 
 /* When a refused caller is to retry, in ms, spread by `draw`, uniform in [0,
 ** 1), over the time in which it would still do so. It is not before
-** `least_ms`: an earlier retry cannot be told from a first attempt. */
+** `least_ms`: an earlier retry could not be distinguished from a first
+** attempt. */
 int64_t pwshed_retry_ms(int64_t time_left_ms, int64_t least_ms, double draw);
 
 #endif
--- a/packages/policy/pwspread.h
+++ b/packages/policy/pwspread.h
@@ -19,8 +19,8 @@
 ** that is gone never ends. */
 #define PW_SPREAD_TIMEOUT_MS 400
 
-/* Documents up to this size are not referred to another source: a connection to
-** it costs as much, bytes. */
+/* Receivers are not referred to another source for documents up to this size in
+** bytes: a connection to it costs as much. */
 #define PW_SPREAD_SMALL 2048
 
 /* A receiver of the document, which can be a source once it has it. */
@@ -28,18 +28,18 @@
   uint64_t id;          /* not 0, and unique */
   uint64_t holds;       /* version that it has */
   int can_serve;        /* it serves documents to others */
-  int64_t requested_at; /* it waits for a newer version since then, ms; 0: no */
-  int64_t served_at;    /* it was last sent or referred then, ms; 0: not yet */
-  uint64_t source;      /* the source that it was referred to; 0: none */
-  int64_t busy_until;   /* as a source it is taken to be busy until then, ms */
-  int failed;           /* times that it was served and nothing arrived */
+  int64_t requested_at; /* since when it waits for a newer version, ms; 0: no */
+  int64_t served_at;  /* when it was last served or referred, ms; 0: not yet */
+  uint64_t source;    /* the source that it was referred to; 0: none */
+  int64_t busy_until; /* until when it counts as busy as a source, ms */
+  int failed;         /* times that it was served and nothing arrived */
 } pw_spread_peer;
 
-/* It asks for a version newer than the one it has. */
+/* The receiver asks for a version newer than the one it has. */
 void pwspread_request(pw_spread_peer *p, int64_t now);
 
-/* It has `version` now; `newest` is the newest there is. The source that served
-** it, if any, is looked up in all[n] and marked free. */
+/* The receiver has `version` now; `newest` is the newest there is. The source
+** that served it, if any, is looked up in all[n] and marked free. */
 void pwspread_received(pw_spread_peer *p, uint64_t version, uint64_t newest,
                        pw_spread_peer *const *all, size_t n);
 
--- a/packages/policy/pwtimeouts.h
+++ b/packages/policy/pwtimeouts.h
@@ -17,7 +17,7 @@
 
 /* Timeouts and their frequency. */
 typedef struct pw_timeouts_counts {
-  int time[PWTIMEOUTS_COUNTERS]; /* logarithmic */
+  int time[PWTIMEOUTS_COUNTERS]; /* logarithm of the timeout, rounded down */
   int count[PWTIMEOUTS_COUNTERS];
   int total;
 } pw_timeouts_counts;
--- a/packages/policy/pwtopology.c
+++ b/packages/policy/pwtopology.c
@@ -1,8 +1,8 @@
 /* pwtopology.c: the groups in which many gateways exchange their loads. */
 #include "pwtopology.h"
 
-/* An aggregator that has not answered for SILENT_MS is skipped for AGAIN_MS,
-** in ms. Answers come ten times a second; until a dead aggregator is skipped,
+/* An aggregator that has not answered for SILENT_MS is skipped for AGAIN_MS.
+** Answers come ten times a second; until a dead aggregator is skipped,
 ** its group gets no loads of others. */
 #define SILENT_MS 400
 #define AGAIN_MS 2000
--- a/packages/policy/pwtopology.h
+++ b/packages/policy/pwtopology.h
@@ -18,7 +18,8 @@
 typedef struct pw_topology_peer {
   uint64_t hash; /* of its address: decides its group and its rank there */
   int64_t awaiting_since; /* its first unanswered message, ms; 0: none */
-  int64_t skip_until;     /* it did not answer: no aggregator until then, ms */
+  /* It did not answer, and is no aggregator until then, ms. */
+  int64_t skip_until;
   int is_self;
 } pw_topology_peer;
 
--- a/packages/policy/pwunresponsive.h
+++ b/packages/policy/pwunresponsive.h
@@ -1,20 +1,19 @@
-/* pwunresponsive.h: requests whose target became unresponsive, until it is known
-** whether the target crashed.
+/* pwunresponsive.h: requests whose target became unresponsive, until it is
+** known whether the target crashed.
 **
 ** Pure: time comes in as an argument. A request that takes long looks like one
-** that hangs its target: in both cases nothing arrives. This alone is not
-** counted as a crash; it is once control has missed the target's heartbeats as
-** well. */
+** that hangs its target: in both cases nothing arrives. Such a silence counts
+** as a crash only once control has missed the target's heartbeats as well. */
 #ifndef PWUNRESPONSIVE_H
 #define PWUNRESPONSIVE_H
 
 #include <stdint.h>
 
-#define PWUNRESPONSIVE_MAX                                                     \
-  256 /* requests kept; another one replaces the oldest */
+/* Requests kept; another one replaces the oldest. */
+#define PWUNRESPONSIVE_MAX 256
 
 typedef struct pw_unresponsive_request {
-  uint64_t fingerprint; /* of the request (pwsign) */
+  uint64_t fingerprint; /* of the request (pwfingerprint) */
   uint64_t target;      /* incarnation of its target */
   int64_t at;           /* when the target became unresponsive, ms; 0: unused */
 } pw_unresponsive_request;
--- a/tests/test_canary.c
+++ b/tests/test_canary.c
@@ -218,7 +218,7 @@
 
 /* --- steps --- */
 
-/* A rollout with enough slots and nothing against the version. */
+/* A rollout with enough slots and no evidence against the version. */
 static pw_canary_input healthy(int64_t elapsed) {
   return (pw_canary_input){.over_ms = OVER_MS,
                            .elapsed_ms = elapsed,
--- a/tests/test_consensus.c
+++ b/tests/test_consensus.c
@@ -913,7 +913,7 @@
   return hint;
 }
 
-/* A member replies that it is new until it leads or hears from a leader. */
+/* A member replies that it is new until it leads or receives a message from a leader. */
 static void test_who_is_new(void) {
   disk d = {0};
   pw_cons *c = one_of_three(&d, 1);
--- a/tests/test_gather.c
+++ b/tests/test_gather.c
@@ -21,17 +21,18 @@
   result out = {0};
   for (int64_t from = 1000; from < 3000; from += 7) {
     int64_t targets_at = 0, versions_at = 0, messages = 0;
-    int64_t gather = pwcoalesce_targets_ms(relying, others);
+    int64_t targets_ms = pwcoalesce_targets_ms(relying, others);
     for (int64_t now = 0; now < 6000; now += 10) {
       int is_version = now >= from && versions_at < from;
-      int64_t pause = apart ? pwcoalesce_versions_ms(relying + others) : gather;
-      if (now - targets_at >= gather) {
+      int64_t versions_ms =
+          apart ? pwcoalesce_versions_ms(relying + others) : targets_ms;
+      if (now - targets_at >= targets_ms) {
         targets_at = now;
         messages += relying + others;
         if (!apart && is_version)
           versions_at = now;
       }
-      if (apart && is_version && now - versions_at >= pause) {
+      if (apart && is_version && now - versions_at >= versions_ms) {
         versions_at = now;
         messages += relying + others;
       }
--- a/tests/test_hold.c
+++ b/tests/test_hold.c
@@ -196,8 +196,8 @@
   return 1;
 }
 
-/* Most callers read nothing: the others get their whole answers, and less than
-** the memory is used; 128 KB for each would be three times as much. The clock
+/* Most callers read nothing: the others get their complete answers, and less
+** than the memory is used; 128 KB for each would be three times as much. The clock
 ** does not advance until the readers have everything; then the callers that
 ** read nothing are disconnected. */
 static void test_most_do_not_read(void) {
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -50,7 +50,7 @@
   CHECK(!t.is_complete);
 }
 
-/* --- who watches whom --- */
+/* --- watches between instances --- */
 
 static void list(char (*addr)[PW_NAME_MAX], int n) {
   for (int i = 0; i < n; i++)
@@ -201,7 +201,7 @@
   return -1;
 }
 
-/* One message in ten is lost, one in twenty comes twice, each with a random
+/* One message in ten is lost, one in twenty arrives twice, each with a random
 ** delay. */
 static void send(model *m, message *msg) {
   int copies = m->is_settling ? 1 : (int)pwrand_below(&m->r, 20);
--- a/tests/test_places.c
+++ b/tests/test_places.c
@@ -18,13 +18,13 @@
   CHECK(pwshed_reserve(&p, 2, 0) == 0 && pwshed_admitted_share(&p) == 1);
   for (int i = 0; i < 1000; i++) /* one in twenty gets none */
     pwshed_note(&p, 0, 0, i % 20 != 0, 1000 + i);
-  double kept = pwshed_reserve(&p, 1, 0);
-  CHECK(kept > 0 && kept <= 0.1);
-  CHECK(pwshed_reserve(&p, 0, 0) == 0 && pwshed_reserve(&p, 2, 0) == kept);
+  double reserved = pwshed_reserve(&p, 1, 0);
+  CHECK(reserved > 0 && reserved <= 0.1);
+  CHECK(pwshed_reserve(&p, 0, 0) == 0 && pwshed_reserve(&p, 2, 0) == reserved);
   for (int i = 0; i < 1000; i++)
     pwshed_note(&p, 1, 0, i % 8 != 0, 2000 + i);
-  CHECK(pwshed_reserve(&p, 1, 0) == kept);
-  CHECK(pwshed_reserve(&p, 2, 0) > kept && pwshed_reserve(&p, 2, 0) <= 0.2);
+  CHECK(pwshed_reserve(&p, 1, 0) == reserved);
+  CHECK(pwshed_reserve(&p, 2, 0) > reserved && pwshed_reserve(&p, 2, 0) <= 0.2);
   for (int i = 0; i < 10000; i++)
     pwshed_note(&p, 0, 0, 1, 3000 + i);
   CHECK(pwshed_reserve(&p, 1, 0) == 0);
@@ -91,7 +91,7 @@
   }
   CHECK(pwshed_retry_ms(9000, 0, 0.1) < pwshed_retry_ms(9000, 0, 0.9));
   CHECK(pwshed_retry_ms(0, 0, 0.5) > 0 && pwshed_retry_ms(-10, 0, 0.5) > 0);
-  /* from 1200 ms on it is recognized as a retry */
+  /* from 1200 ms on the request is recognized as a retry */
   for (int i = 0; i < 10; i++) {
     int64_t ms = pwshed_retry_ms(9000, 1200, i / 10.0);
     CHECK(ms >= 1200 && ms <= 3000);
@@ -126,7 +126,7 @@
 
 /* It guards against taking callers with short timeouts for retries: timeouts
 ** are from 0.85 to 1 of eight seconds; at six times the load four in ten
-** requests are refused and retried once, when their callers are told to.
+** requests are refused and retried once, when their callers are asked to.
 ** Retries are recognized and first attempts are not taken for them; by the
 ** longest timeout alone most of them would be. */
 static void play_timeouts(double spread, int unloaded, uint64_t seed) {
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -22,9 +22,9 @@
   CHECK(pwfingerprint_of("", "GET", span("/"), (pw_span){0}) != 0);
 }
 
-/* A request whose target became unresponsive counts once the target is known
-** to have crashed; only once, not for another incarnation, and not long
-** after. */
+/* A request whose target became unresponsive is returned once the target is
+** known to have crashed, but only one time, not for another incarnation, and
+** not long after. */
 static void test_unresponsive(void) {
   pw_unresponsive d = {0};
   pwunresponsive_note(&d, 7, 1, 1000);
@@ -66,7 +66,8 @@
   pwquar_free(q);
 }
 
-/* A target that restarts unnoticed crashes again: with the same id, later. */
+/* A target that restarts unnoticed and crashes again is reported with the same
+** id, some time later. */
 static void test_crashes_again(void) {
   pw_quarantine *a = pwquar_new(), *b = pwquar_new();
   CHECK(pwquar_crashed(a, 7, 1, 1000) == PWQUAR_CRASHED);
@@ -83,7 +84,7 @@
   pwquar_free(b);
 }
 
-/* An answer takes back all crashes before it, and for a while none is
+/* An answer retracts all crashes before it, and for a while none is
 ** counted. */
 static void test_answers(void) {
   pw_quarantine *q = pwquar_new();
@@ -241,10 +242,10 @@
 } run;
 
 typedef struct result {
-  int crashes;     /* targets that crashed */
-  int late;        /* sends later than 3 s after the third crash */
-  int wrong;       /* other requests in quarantine at the end */
-  int shared_held; /* times that the common request was in quarantine */
+  int crashes;            /* targets that crashed */
+  int late;               /* sends later than 3 s after the third crash */
+  int wrong;              /* other requests in quarantine at the end */
+  int shared_quarantined; /* times that the common request was in quarantine */
 } result;
 
 /* The request that crashes targets, and the one that many callers send
@@ -315,7 +316,7 @@
     }
     for (int i = 0; i < gateways; i++)
       if (pwrand_below(r, 20) == 0) {
-        p.shared_held += pwquar_left(q[i], SHARED, now) > 0;
+        p.shared_quarantined += pwquar_left(q[i], SHARED, now) > 0;
         pwquar_answered(q[i], SHARED, now);
       }
     if (how == SHARED_COUNTS && now % UPDATE_MS == 0)
@@ -344,7 +345,7 @@
         sum.crashes += p.crashes;
         sum.late += p.late;
         sum.wrong += p.wrong;
-        sum.shared_held += p.shared_held;
+        sum.shared_quarantined += p.shared_quarantined;
         most = p.crashes > most ? p.crashes : most;
       }
       printf(
@@ -352,8 +353,8 @@
           "%d other requests in quarantine, the common one %d times\n",
           sizes[s], how == ALONE ? "alone" : "told",
           (double)sum.crashes / rounds, most, (double)sum.late / rounds,
-          sum.wrong, sum.shared_held);
-      CHECK(sum.wrong == 0 && sum.shared_held == 0);
+          sum.wrong, sum.shared_quarantined);
+      CHECK(sum.wrong == 0 && sum.shared_quarantined == 0);
       if (how == SHARED_COUNTS || sizes[s] == 1)
         CHECK(most <= 9 && sum.late == 0);
     }
--- a/tests/test_reject.c
+++ b/tests/test_reject.c
@@ -231,7 +231,7 @@
   w->ends[slot][w->nends[slot]++] = t;
 }
 
-/* Sends one request, which goes on to another target after a rejection while retries are left. */
+/* Sends one request, which is retried at another target after a rejection while retries are left. */
 static void send_one(world *w, int64_t now) {
   int rejecting = now >= REJECT_FROM_MS && now < REJECT_TO_MS;
   int g = (int)(pwrand_unit(w->r) * w->l->gateways);
--- a/tests/test_sight.c
+++ b/tests/test_sight.c
@@ -86,7 +86,7 @@
 }
 
 /* All gateways agree on the aggregators, also after those of two groups have
-** died and again when they are back. */
+** died and again when these aggregators are back. */
 static void test_aggregators(void) {
   static fleet f;
   init_fleet(&f);
@@ -149,7 +149,7 @@
   static const pw_gossip_prompts none = {.n = 0};
   pw_random r = {.seed = test_seed(4)};
   pw_loads loads = {0}, got = {0};
-  pw_gossip_loads told = {0};
+  pw_gossip_loads known = {0};
   line l = {.n = 0};
   uint64_t seq = 0;
   for (int n = 0; n < 1000; n += 37) {
@@ -160,26 +160,26 @@
     pwgossipmsg_pack(PWGOSSIPMSG_SUM, 7, &seq, &loads, &moved, on_datagram, &l);
     size_t prompts = 0;
     for (size_t i = 0; i < l.n; i++) {
-      CHECK(pwgossipmsg_take(&told, l.m[i], n));
-      CHECK(!pwgossipmsg_take(&told, l.m[i], n));
+      CHECK(pwgossipmsg_take(&known, l.m[i], n));
+      CHECK(!pwgossipmsg_take(&known, l.m[i], n));
       prompts += l.m[i]->n_keys;
     }
     CHECK(prompts == moved.n);
     clear(&l);
     pwloads_clear(&got);
-    pwgossipmsg_sum(&told, &got);
+    pwgossipmsg_sum(&known, &got);
     CHECK(same(&loads, &got));
   }
   fill(&loads, &r, 300);
   pwgossipmsg_pack(PWGOSSIPMSG_SUM, 7, &seq, &loads, &none, on_datagram, &l);
   CHECK(l.n == 2);
-  CHECK(pwgossipmsg_take(&told, l.m[1], 1)); /* the first part is lost */
+  CHECK(pwgossipmsg_take(&known, l.m[1], 1)); /* the first part is lost */
   pwloads_clear(&got);
-  pwgossipmsg_sum(&told, &got);
+  pwgossipmsg_sum(&known, &got);
   CHECK(got.n > 100 && got.n < 200);
   clear(&l);
   l.n = 0;
-  pwgossipmsg_free(&told);
+  pwgossipmsg_free(&known);
   pwloads_free(&loads);
   pwloads_free(&got);
 }
@@ -187,13 +187,13 @@
 /* Thousands of targets and the most prompts that are sent: each part still
 ** arrives. It guards against this failure: a part that is too long for a
 ** datagram is not sent at all, so that the last loads of its targets are
-** believed for ever. With 300 instances before 3,000 targets nothing was
+** used for ever. With 300 instances before 3,000 targets nothing was
 ** served for 30 s after an availability zone was lost, as the targets there
 ** were sent as well. */
 static void test_too_many(void) {
   pw_random r = {.seed = test_seed(5)};
   pw_loads loads = {0}, got = {0};
-  pw_gossip_loads told = {0};
+  pw_gossip_loads known = {0};
   pw_gossip_prompts moved = {.n = 0};
   line l = {.n = 0};
   uint64_t seq = 0;
@@ -203,11 +203,11 @@
   pwgossipmsg_pack(PWGOSSIPMSG_TOTAL, 7, &seq, &loads, &moved, on_datagram, &l);
   CHECK(l.n == PWGOSSIPMSG_PARTS);
   for (size_t i = 0; i < l.n; i++)
-    CHECK(pwgossipmsg_take(&told, l.m[i], 1));
-  pwgossipmsg_sum(&told, &got);
+    CHECK(pwgossipmsg_take(&known, l.m[i], 1));
+  pwgossipmsg_sum(&known, &got);
   CHECK(got.n >= PWGOSSIPMSG_ROWS);
   clear(&l);
-  pwgossipmsg_free(&told);
+  pwgossipmsg_free(&known);
   pwloads_free(&loads);
   pwloads_free(&got);
 }
@@ -215,7 +215,7 @@
 /* A gateway that restarts counts from the beginning; malformed datagrams are
 ** refused. */
 static void test_restart(void) {
-  pw_gossip_loads told = {0};
+  pw_gossip_loads known = {0};
   uint32_t key = 5, load = 9;
   Pw__Gossip m = PW__GOSSIP__INIT;
   m.incarnation = 1;
@@ -223,23 +223,23 @@
   m.targets = &key;
   m.loads = &load;
   m.n_targets = m.n_loads = 1;
-  CHECK(pwgossipmsg_take(&told, &m, 1));
+  CHECK(pwgossipmsg_take(&known, &m, 1));
   m.seq = 49;
-  CHECK(!pwgossipmsg_take(&told, &m, 2));
+  CHECK(!pwgossipmsg_take(&known, &m, 2));
   m.incarnation = 2;
   m.seq = 1;
-  CHECK(pwgossipmsg_take(&told, &m, 3));
+  CHECK(pwgossipmsg_take(&known, &m, 3));
   m.seq = 2;
   m.n_loads = 0;
-  CHECK(!pwgossipmsg_take(&told, &m, 4));
+  CHECK(!pwgossipmsg_take(&known, &m, 4));
   m.n_loads = 1;
   m.parts = PWGOSSIPMSG_PARTS + 1;
-  CHECK(!pwgossipmsg_take(&told, &m, 5));
+  CHECK(!pwgossipmsg_take(&known, &m, 5));
   m.parts = 2;
   m.part = 2;
-  CHECK(!pwgossipmsg_take(&told, &m, 6));
-  CHECK(told.at == 3);
-  pwgossipmsg_free(&told);
+  CHECK(!pwgossipmsg_take(&known, &m, 6));
+  CHECK(known.at == 3);
+  pwgossipmsg_free(&known);
 }
 
 /* --- shares of slots --- */
--- a/tests/test_spread.c
+++ b/tests/test_spread.c
@@ -10,14 +10,15 @@
 #define NEWEST 9
 #define LINK_MBPS 6.0
 #define BYTES 35000
-#define HAND_MS 40 /* between two gateways: connection and 10 Mbit/s */
-#define TURN_MS 5
-#define ASK_MS 300 /* a receiver that got nothing asks again */
+#define SERVE_MS 40 /* between two gateways: connection and 10 Mbit/s */
+#define STEP_MS 5
+#define ASK_MS 300 /* after this a receiver that got nothing asks again */
 
 typedef struct sim {
-  pw_spread_peer place[RECEIVERS];
+  pw_spread_peer peer[RECEIVERS];
   pw_spread_peer *all[RECEIVERS];
-  int64_t comes_at[RECEIVERS]; /* the document arrives; 0: none in flight */
+  /* When the document arrives, ms; 0: none is in flight. */
+  int64_t arrives_at[RECEIVERS];
   int64_t asked_at[RECEIVERS];
   int is_dead[RECEIVERS]; /* serves no one, though it can_serve */
   pw_pace link;
@@ -30,22 +31,22 @@
   memset(d, 0, sizeof *d);
   d->link = pwpace_of(LINK_MBPS);
   for (int i = 0; i < RECEIVERS; i++) {
-    d->all[i] = &d->place[i];
-    d->place[i].id = (uint64_t)i + 1;
-    d->place[i].can_serve = can_serve;
-    d->place[i].holds = NEWEST - 1;
+    d->all[i] = &d->peer[i];
+    d->peer[i].id = (uint64_t)i + 1;
+    d->peer[i].can_serve = can_serve;
+    d->peer[i].holds = NEWEST - 1;
   }
 }
 
 static int index_of(const sim *d, const pw_spread_peer *p) {
-  return (int)(p - d->place);
+  return (int)(p - d->peer);
 }
 
 static void check_source(const sim *d, const pw_spread_peer *source,
                          int64_t now) {
   CHECK(source->holds == NEWEST);
   CHECK(source->busy_until <= now);
-  CHECK(d->comes_at[index_of(d, source)] == 0);
+  CHECK(d->arrives_at[index_of(d, source)] == 0);
 }
 
 static void serve(sim *d, size_t bytes, int64_t now) {
@@ -66,16 +67,16 @@
       pwpace_take(&d->link, bytes, now);
     d->own += own;
     d->copies++;
-    if (!d->comes_at[index_of(d, to)])
-      d->comes_at[index_of(d, to)] =
-          (source ? now + HAND_MS : d->link.free_at + 1) + d->latency_ms;
+    if (!d->arrives_at[index_of(d, to)])
+      d->arrives_at[index_of(d, to)] =
+          (source ? now + SERVE_MS : d->link.free_at + 1) + d->latency_ms;
   }
 }
 
 static void receive(sim *d, int i, int64_t now) {
-  pw_spread_peer *p = &d->place[i];
-  if (d->comes_at[i] && d->comes_at[i] <= now) {
-    d->comes_at[i] = 0;
+  pw_spread_peer *p = &d->peer[i];
+  if (d->arrives_at[i] && d->arrives_at[i] <= now) {
+    d->arrives_at[i] = 0;
     pwspread_received(p, NEWEST, NEWEST, d->all, RECEIVERS);
   }
   if (p->holds < NEWEST &&
@@ -87,11 +88,11 @@
 
 /* Returns when the last receiver has the document, ms. */
 static int64_t play(sim *d, size_t bytes) {
-  for (int64_t now = 1; now < 100000; now += TURN_MS) {
+  for (int64_t now = 1; now < 100000; now += STEP_MS) {
     int left = 0;
     for (int i = 0; i < RECEIVERS; i++) {
       receive(d, i, now);
-      left += d->place[i].holds < NEWEST;
+      left += d->peer[i].holds < NEWEST;
     }
     if (!left)
       return now;
--- a/tests/test_standstill.c
+++ b/tests/test_standstill.c
@@ -14,15 +14,15 @@
 #define LONG_MS 5000
 #define SERVED 400 /* requests that each agent has served before */
 
-typedef struct bed {
+typedef struct fixture {
   uint64_t id[TARGETS];
   pw_route_target t[TARGETS];
   pw_place *place;
   pw_route_pool pool;
-} bed;
+} fixture;
 
 static int get(void *arg, uint64_t id, pw_route_target *out) {
-  const bed *b = arg;
+  const fixture *b = arg;
   for (int i = 0; i < TARGETS; i++)
     if (b->id[i] == id) {
       *out = b->t[i];
@@ -31,7 +31,7 @@
   return 0;
 }
 
-static void set_up(bed *b) {
+static void set_up(fixture *b) {
   pw_place_target pt[TARGETS];
   for (int i = 0; i < TARGETS; i++) {
     b->id[i] = (uint64_t)i + 1;
@@ -43,10 +43,10 @@
   b->pool = (pw_route_pool){b->place, b->id, TARGETS, b, get};
 }
 
-/* A failing target is no way out of a full pool: a request refused for load is
-** queued at a working one. */
+/* Failing targets are not used when the others are full: a request refused for
+** load is queued at a working target. */
 static void test_full_pool_avoids_ejected(void) {
-  bed b;
+  fixture b;
   set_up(&b);
   for (uint64_t key = 1; key < 200; key++) {
     pw_route_walk w = {.key = key, .draw = key * 77, .cost = COST};
@@ -64,7 +64,7 @@
 /* Once no budget is left for refusals, the next target may queue the
 ** request. */
 static void test_no_budget_for_refusals(void) {
-  bed b;
+  fixture b;
   set_up(&b);
   pw_route_walk w = {.key = 5, .draw = 9, .cost = COST};
   pw_route_pick pick = pwroute_next(&b.pool, &w);
@@ -125,8 +125,8 @@
   CHECK(refused_of(SLOTS + SLOTS * 20 / SHORT_MS, SHORT_MS, 0) > 0);
 }
 
-/* After a stall of a second many more requests wait, for less than a tenth of
-** it. */
+/* After a stall of a second many more requests are queued, each for less than a
+** tenth of that second. */
 static void test_old_requests(void) {
   CHECK(refused_of(6 * SLOTS, SHORT_MS, 0) > 0);
   CHECK(refused_of(6 * SLOTS, SHORT_MS, 1000) == 0);
