--- a/packages/membership/pwfleet.c
+++ b/packages/membership/pwfleet.c
@@ -14,8 +14,8 @@
 
 #define SLOTS_DEFAULT 1
 
-#define CONNECT_FAILURE_SALT                                                   \
-  0x9e3779b9U /* makes connect_failure_hash differ from reject_hash */
+/* Makes connect_failure_hash differ from reject_hash. */
+#define CONNECT_FAILURE_SALT 0x9e3779b9U
 
 /* A cold phase that differs by more than this from the announced one is reported as a change,
 ** ms. Smaller differences come from heartbeats that arrive late. */
@@ -140,7 +140,7 @@
 /* --- heartbeats --- */
 
 /* Sets the time of the newest heartbeat or state change. Stalls before it no longer count. */
-static void note_heard(pw_target *t, int64_t at) {
+static void set_heard_at(pw_target *t, int64_t at) {
   t->heard_at = at;
   t->stalled_ms = 0;
 }
@@ -212,7 +212,8 @@
   t->reclaimed_at = 0;
 }
 
-/* An address belongs to one target, so a target that was heard there earlier has ended. */
+/* An address belongs to one target: of two at the same address, the one whose newest heartbeat is
+** older has ended. */
 static void claim_address(pw_fleet *f, pw_target *owner) {
   for (pw_target *t = f->by_id; t; t = t->hh.next)
     if (t != owner && !t->is_gone && !strcmp(t->address, owner->address))
@@ -221,7 +222,7 @@
 
 /* Whether a displaced target is still alive, because a late heartbeat of an earlier target at
 ** its address displaced it. A live target keeps sending heartbeats, while those of a crashed
-** one that are still in flight arrive all at once; so heartbeats must span half an interval. */
+** target that are still in flight arrive all at once; so heartbeats must span half an interval. */
 static int is_still_alive(const pw_fleet *f, pw_target *t, uint64_t seq,
                           int64_t heard_at) {
   if (!t->is_displaced || seq <= t->seq)
@@ -272,7 +273,7 @@
   if (is_new)
     t = add(f, b, heard_at);
   if (heard_at > t->heard_at)
-    note_heard(t, heard_at);
+    set_heard_at(t, heard_at);
   if (gone) {
     int was_known = t->is_gone && !t->is_displaced;
     t->is_gone = 1;
@@ -311,7 +312,7 @@
   if (!t || (t->is_gone && !is_back) || (!is_back && seq <= t->seq))
     return PWFLEET_UNCHANGED;
   if (heard_at > t->heard_at)
-    note_heard(t, heard_at);
+    set_heard_at(t, heard_at);
   int was_away = note_alive(t, seq);
   if (is_back)
     claim_address(f, t);
@@ -325,11 +326,11 @@
       t->is_silent == silent)
     return PWFLEET_UNCHANGED;
   t->is_silent = silent;
-  note_heard(t, now); /* the time of removal counts from this change */
+  set_heard_at(t, now); /* the time of removal counts from this change */
   return silent ? PWFLEET_SILENT : PWFLEET_BACK;
 }
 
-const char *pwfleet_change_name(pw_fleet_change news) {
+const char *pwfleet_change_name(pw_fleet_change change) {
   static const char *const names[] = {[PWFLEET_JOINED] = "target-joined",
                                       [PWFLEET_RESTARTED] = "target-restarted",
                                       [PWFLEET_BACK] = "target-back",
@@ -338,7 +339,7 @@
                                       [PWFLEET_SILENT] = "target-silent",
                                       [PWFLEET_LEAVING] = "target-leaving",
                                       [PWFLEET_GONE] = "target-gone"};
-  return news >= PWFLEET_JOINED ? names[news] : NULL;
+  return change >= PWFLEET_JOINED ? names[change] : NULL;
 }
 
 void pwfleet_to_heartbeat(const pw_target *t, pw_heartbeat *out) {
@@ -358,7 +359,7 @@
 
 void pwfleet_mark_gone(pw_target *t, int64_t now) {
   t->is_gone = 1;
-  note_heard(t, now);
+  set_heard_at(t, now);
 }
 
 void pwfleet_tick(pw_fleet *f, int64_t now,
--- a/packages/membership/pwfleet.h
+++ b/packages/membership/pwfleet.h
@@ -40,13 +40,13 @@
   uint32_t short_hash;  /* identifies the incarnation in messages between
                         ** gateways */
   uint32_t reject_hash; /* key under which gateways report its rejections */
-  uint32_t
-      connect_failure_hash; /* key under which gateways report failed connects */
+  /* Key under which gateways report failed connects to it. */
+  uint32_t connect_failure_hash;
   char version[PW_NAME_MAX]; /* software version */
   int slots;                 /* requests that it runs at once */
   int is_leaving;            /* by its heartbeats */
   int is_outdated;           /* a completed rollout replaced its version */
-  int is_gone;          /* it has ended, or stopped answering at its address */
+  int is_gone;          /* it has ended, or no longer answers at its address */
   int is_displaced;     /* it counts as gone only because another target
                         ** claimed its address */
   int64_t reclaimed_at; /* first heartbeat from the address after it was
@@ -67,10 +67,10 @@
   int inflight;          /* requests of this gateway in flight there */
   int others;            /* requests of the other gateways, as last reported */
   pw_reject rejects;     /* its latest rejection of a request of this gateway */
-  uint32_t peer_rejects; /* how many other gateways it rejected lately */
+  uint32_t peer_rejects; /* how many other gateways it rejected recently */
   pw_reject connect_failures; /* the latest failed connect of this gateway */
   uint32_t peer_connect_failures; /* how many other gateways failed to connect
-                                  ** lately */
+                                  ** recently */
   int nconns;                     /* open connections, idle ones included */
   pw_upconn *idle;                /* idle connections, the newest first */
 
@@ -85,8 +85,8 @@
   pw_fleet_side side;
   int is_in_canary; /* PWFLEET_NEW_VERSION only: it gets requests already */
   int refs;
-  struct pw_target
-      *next_retired; /* next earlier incarnation with open connections */
+  /* Next earlier incarnation with open connections or requests. */
+  struct pw_target *next_retired;
   UT_hash_handle hh;
 } pw_target;
 
@@ -104,13 +104,13 @@
 
 /* What a heartbeat or an update changed. */
 typedef enum pw_fleet_change {
-  PWFLEET_UNCHANGED, /* nothing: it was known, or outdated */
+  PWFLEET_UNCHANGED, /* nothing: what it said was known, or outdated */
   PWFLEET_RENEWED,
   PWFLEET_JOINED,
   PWFLEET_RESTARTED, /* a new incarnation of a known id */
-  PWFLEET_BACK,      /* it was silent or gone before */
-  PWFLEET_COLD,      /* it turned cold, or stays cold for longer */
-  PWFLEET_WARM,      /* it is warm sooner than announced */
+  PWFLEET_BACK,      /* the target was silent or gone before */
+  PWFLEET_COLD,      /* the target turned cold, or stays cold for longer */
+  PWFLEET_WARM,      /* the target is warm sooner than announced */
   PWFLEET_SILENT,
   PWFLEET_LEAVING,
   PWFLEET_GONE
@@ -118,7 +118,7 @@
 
 /* Event name for log lines, such as "target-joined"; NULL for PWFLEET_UNCHANGED and
 ** PWFLEET_RENEWED. */
-const char *pwfleet_change_name(pw_fleet_change news);
+const char *pwfleet_change_name(pw_fleet_change change);
 
 /* Applies a heartbeat received at `heard_at`, ms; `gone` marks the end of the target. A
 ** heartbeat of an earlier incarnation changes nothing, and one of a later incarnation adds a
@@ -222,16 +222,16 @@
   int is_sticky; /* `key` is set */
   uint64_t key;  /* hash of the prompt prefix that requests share */
   int home_only; /* only the prompt's home targets, without a fallback to others */
-  uint32_t
-      last_target; /* short hash of the prompt's latest target; 0: unknown */
-  uint32_t
-      prefix_target; /* short hash of the latest target of a prompt with the
-                      ** same beginning; 0: unknown */
-  double wait_ms;    /* longest acceptable wait for a slot */
-  double draw;       /* uniform in [0, 1) */
+  /* Short hash of the prompt's latest target; 0: unknown. */
+  uint32_t last_target;
+  /* Short hash of the latest target of a prompt with the same beginning; 0:
+  ** unknown. */
+  uint32_t prefix_target;
+  double wait_ms; /* longest acceptable wait for a slot */
+  double draw;    /* uniform in [0, 1) */
   pw_pick_bound bound;
   pw_cold_service cold; /* what the service's cold targets accept */
-  double part; /* this gateway's share of that, above 0 and at most 1 */
+  double part; /* this gateway's share of `cold`, above 0 and at most 1 */
   int conns;   /* most connections to one target, busy or idle; 0: no limit */
   int save_retries;        /* few retries are left: targets that reject requests
                            ** come last */
@@ -243,10 +243,10 @@
   pw_target *target; /* with a reference for the caller; NULL: none */
   pw_target *holder; /* another target that likely has the prompt prefix cached,
                      ** without a reference; NULL: none */
-  int is_home; /* target is the one where every gateway looks for the prompt */
+  int is_home;       /* every gateway looks for the prompt at this target */
 } pw_fleet_picked;
 
-pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *ask,
+pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *criteria,
                              int64_t now);
 
 /* Records a valid answer of a target after work_ms (0: not measured), or a request that ended
@@ -257,8 +257,8 @@
 /* Records that no connection to a target came up. */
 void pwfleet_connect_failed(pw_target *t, int64_t now);
 
-/* Records that a target announced in an answer that it leaves. Returns whether that was
-** unknown. */
+/* Records that a target announced in an answer that it leaves. Returns whether this was unknown
+** before. */
 int pwfleet_note_leaving(pw_target *t);
 
 /* Records that a target asked in an answer for a hold-off of `ms`. Returns whether that
@@ -269,12 +269,12 @@
 ** free slots. */
 void pwfleet_rejected(pw_target *t, int had_room, int64_t now);
 
-/* Whether a target accepts requests at all, also one that was sent to it before: it is not gone,
-** leaving, evacuated, outdated or in a hold-off. */
+/* Whether a target accepts requests at all, including a request that is sent to it again: it is
+** not gone, leaving, evacuated, outdated or in a hold-off. */
 int pwfleet_may_send(const pw_target *t, int64_t now);
 
 /* Time until the first hold-off ends, ms, if all targets of a service that could be used are
-** in a hold-off; 0: one of them is not, or none exists. */
+** in a hold-off; 0: at least one of them is not, or there are none. */
 int64_t pwfleet_held_off(pw_fleet *f, const char *service, int64_t now);
 
 /* Discounts a stall of this process by `ms`, in which it could receive nothing, from the
--- a/packages/membership/pwfleetpick.c
+++ b/packages/membership/pwfleetpick.c
@@ -62,7 +62,7 @@
   double errors;  /* mean error share */
   double others;  /* mean number of other gateways' requests */
   double work_ms; /* mean measured duration of a request */
-  int most_silent; /* more than half are silent, so the receiver of the heartbeats is at fault */
+  int most_silent; /* more than half are silent: the receiver of the heartbeats is at fault */
 } service_stats;
 
 int pwflt_is_of(const pw_target *t, const char *service, pw_fleet_side side) {
@@ -198,8 +198,8 @@
   return out;
 }
 
-static int was_tried(const pw_fleet_criteria *ask, const pw_target *t) {
-  return is_among(t, ask->tried, ask->ntried);
+static int was_tried(const pw_fleet_criteria *criteria, const pw_target *t) {
+  return is_among(t, criteria->tried, criteria->ntried);
 }
 
 /* Whether a target joined so recently, and so long after the oldest, that others may still have
@@ -224,23 +224,26 @@
 ** the report is out of date, and all gateways would send to the target that was the least
 ** loaded in it. */
 static double load_of(const pw_fleet *f, const pw_target *t,
-                      const service_stats *s, const pw_fleet_criteria *ask) {
-  if (ask->is_sticky)
+                      const service_stats *s,
+                      const pw_fleet_criteria *criteria) {
+  if (criteria->is_sticky)
     return t->inflight + t->others;
   double freshness = exp(-(double)f->others_age_ms / work_of(t, s));
   return t->inflight + round(s->others + freshness * (t->others - s->others));
 }
 
 /* Whether a target has an idle connection or may get another one. */
-static int has_connection(const pw_target *t, const pw_fleet_criteria *ask) {
-  return ask->conns == 0 || t->idle || t->nconns < ask->conns;
+static int has_connection(const pw_target *t,
+                          const pw_fleet_criteria *criteria) {
+  return criteria->conns == 0 || t->idle || t->nconns < criteria->conns;
 }
 
 /* Whether the rate limit of a cold target lets this gateway send to it now; always so for a warm
 ** one. */
-static int passes_cold_limit(pw_target *t, const pw_fleet_criteria *ask,
+static int passes_cold_limit(pw_target *t, const pw_fleet_criteria *criteria,
                              int64_t now) {
-  return pwcold_may_send(&t->cold, &ask->cold, ask->part, ask->draw, now);
+  return pwcold_may_send(&t->cold, &criteria->cold, criteria->part,
+                         criteria->draw, now);
 }
 
 static int has_rejected(const pw_target *t, int64_t now) {
@@ -256,73 +259,75 @@
 ** requests and few retries are left. While retries last, the requests that it does take are worth
 ** the extra hops: at three times the load, with a third of the targets rejecting four in ten, the
 ** other targets alone were overloaded. */
-static int is_avoided(const pw_target *t, const pw_fleet_criteria *ask,
+static int is_avoided(const pw_target *t, const pw_fleet_criteria *criteria,
                       int64_t now) {
-  return is_unreachable(t, now) || (ask->save_retries && has_rejected(t, now));
+  return is_unreachable(t, now) ||
+         (criteria->save_retries && has_rejected(t, now));
 }
 
 /* Fills one row for each target of the service. Returns their number. */
-static int fill_rows(pw_fleet *f, const pw_fleet_criteria *ask,
+static int fill_rows(pw_fleet *f, const pw_fleet_criteria *criteria,
                      const service_stats *s, pw_pick *row,
                      pw_target **targets) {
   int n = 0, usable = 0;
   for (pw_target *t = f->by_id; t; t = t->hh.next) {
-    if (t->is_gone || !pwflt_is_of(t, ask->service, ask->side))
+    if (t->is_gone || !pwflt_is_of(t, criteria->service, criteria->side))
       continue;
-    row[n] = (pw_pick){.id = t->hash,
-                       .load = load_of(f, t, s, ask),
-                       .own = t->inflight,
-                       .slots = t->slots,
-                       .work_ms = work_of(t, s),
-                       .is_usable = is_usable(f, t, s) && !was_tried(ask, t) &&
-                                    has_connection(t, ask) &&
-                                    passes_cold_limit(t, ask, s->now),
-                       .counts = is_usable(f, t, s),
-                       .is_near =
-                           !strcmp(t->availability_zone, f->availability_zone),
-                       .is_alive = is_alive(f, t, s),
-                       .is_new = is_new(f, t, s)};
+    row[n] = (pw_pick){
+        .id = t->hash,
+        .load = load_of(f, t, s, criteria),
+        .own = t->inflight,
+        .slots = t->slots,
+        .work_ms = work_of(t, s),
+        .is_usable = is_usable(f, t, s) && !was_tried(criteria, t) &&
+                     has_connection(t, criteria) &&
+                     passes_cold_limit(t, criteria, s->now),
+        .counts = is_usable(f, t, s),
+        .is_near = !strcmp(t->availability_zone, f->availability_zone),
+        .is_alive = is_alive(f, t, s),
+        .is_new = is_new(f, t, s)};
     usable += row[n].is_usable;
     targets[n++] = t;
   }
   /* If no target is usable, any target that accepts requests is the last resort. */
   for (int i = 0; usable == 0 && i < n; i++)
     row[i].is_usable = pwfleet_may_send(targets[i], s->now) &&
-                       !was_tried(ask, targets[i]) &&
-                       has_connection(targets[i], ask) &&
-                       passes_cold_limit(targets[i], ask, s->now);
+                       !was_tried(criteria, targets[i]) &&
+                       has_connection(targets[i], criteria) &&
+                       passes_cold_limit(targets[i], criteria, s->now);
   return n;
 }
 
-static int pick_row(pw_fleet *f, const pw_fleet_criteria *ask,
+static int pick_row(pw_fleet *f, const pw_fleet_criteria *criteria,
                     const pw_pick *row, int n) {
   static const pw_pick_bound no_bound = {1e9, 1e9, 0, 0};
   int best = -1;
-  if (ask->how == PWPICK_BY_ROUND_ROBIN)
+  if (criteria->how == PWPICK_BY_ROUND_ROBIN)
     return pwpick_round_robin(row, n, f->turn++);
-  if (ask->how == PWPICK_BY_HASH && ask->is_sticky)
-    return pwpick_home(row, n, ask->key, no_bound);
-  if (ask->how == PWPICK_BY_HOME && ask->is_sticky)
-    best = pwpick_home(row, n, ask->key, ask->bound);
-  int home_only =
-      ask->how == PWPICK_BY_HOME && ask->is_sticky && ask->home_only;
+  if (criteria->how == PWPICK_BY_HASH && criteria->is_sticky)
+    return pwpick_home(row, n, criteria->key, no_bound);
+  if (criteria->how == PWPICK_BY_HOME && criteria->is_sticky)
+    best = pwpick_home(row, n, criteria->key, criteria->bound);
+  int home_only = criteria->how == PWPICK_BY_HOME && criteria->is_sticky &&
+                  criteria->home_only;
   if (best < 0 && !home_only)
-    best = pwpick_least(row, n, ask->wait_ms, ask->draw, ask->bound);
+    best = pwpick_least(row, n, criteria->wait_ms, criteria->draw,
+                        criteria->bound);
   return best;
 }
 
 /* Picks an avoided target only if no other one has ample free slots. With fewer free slots, at
 ** high load, requests would queue at the others while the avoided target could run some. */
-static int pick_preferred(pw_fleet *f, const pw_fleet_criteria *ask,
+static int pick_preferred(pw_fleet *f, const pw_fleet_criteria *criteria,
                           pw_pick *row, pw_target *const *targets, int n,
                           int64_t now) {
-  int best = pick_row(f, ask, row, n);
-  if (best < 0 || !is_avoided(targets[best], ask, now))
+  int best = pick_row(f, criteria, row, n);
+  if (best < 0 || !is_avoided(targets[best], criteria, now))
     return best;
   for (int i = 0; i < n; i++)
-    row[i].is_usable &= !is_avoided(targets[i], ask, now) &&
+    row[i].is_usable &= !is_avoided(targets[i], criteria, now) &&
                         pwreject_had_room(row[i].load + 1, row[i].slots);
-  int other = pick_row(f, ask, row, n);
+  int other = pick_row(f, criteria, row, n);
   return other >= 0 ? other : best;
 }
 
@@ -338,27 +343,27 @@
   f->targets = pw_alloc(sizeof(pw_target *) * f->rows);
 }
 
-pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *ask,
+pw_fleet_picked pwfleet_pick(pw_fleet *f, const pw_fleet_criteria *criteria,
                              int64_t now) {
   pw_fleet_picked out = {0};
   reserve_rows(f);
   pw_pick *row = f->row;
   pw_target **targets = f->targets;
-  service_stats s = stats_of(f, ask->service, ask->side, now);
-  int n = fill_rows(f, ask, &s, row, targets);
-  int best = pick_preferred(f, ask, row, targets, n, now);
+  service_stats s = stats_of(f, criteria->service, criteria->side, now);
+  int n = fill_rows(f, criteria, &s, row, targets);
+  int best = pick_preferred(f, criteria, row, targets, n, now);
   if (best < 0)
     return out;
   out.target = pwfleet_retain(targets[best]);
-  pwcold_sent(&targets[best]->cold, &ask->cold, ask->part, now);
-  if (!ask->is_sticky)
+  pwcold_sent(&targets[best]->cold, &criteria->cold, criteria->part, now);
+  if (!criteria->is_sticky)
     return out;
-  int home = pwpick_holder(row, n, ask->key);
-  int last = find_row(targets, row, n, ask->last_target);
+  int home = pwpick_holder(row, n, criteria->key);
+  int last = find_row(targets, row, n, criteria->last_target);
   int holder = last >= 0 && last != best ? last : home;
   out.is_home = home == best;
   if (last != best && (holder < 0 || holder == best))
-    holder = find_row(targets, row, n, ask->prefix_target);
+    holder = find_row(targets, row, n, criteria->prefix_target);
   out.holder = holder >= 0 && holder != best ? targets[holder] : NULL;
   return out;
 }
@@ -378,9 +383,9 @@
 }
 
 int pwfleet_note_leaving(pw_target *t) {
-  int is_new_info = !t->announced_leaving;
+  int was_unknown = !t->announced_leaving;
   t->announced_leaving = 1;
-  return is_new_info;
+  return was_unknown;
 }
 
 int pwfleet_note_hold_off(pw_target *t, int64_t ms, int64_t now) {
@@ -421,7 +426,7 @@
 }
 
 /* A single lost packet can delay a connection past its timeout, so one failed connect does not
-** count against a target that has sent something lately. */
+** count against a target that has sent something recently. */
 void pwfleet_connect_failed(pw_target *t, int64_t now) {
   t->failures++;
   if (t->failures < EJECT_AFTER && !pwfleet_is_unresponsive(t, now))
