--- a/packages/consensus/pwcons.c
+++ b/packages/consensus/pwcons.c
@@ -9,15 +9,18 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A pre-vote that failed is retried after this fraction of a lease, to twice that time. */
+/* A failed pre-vote is retried after a random time of one to two times the lease divided by this
+** number. */
 #define PREVOTE_RETRY_DIV 10
 
-/* An election that failed is retried after this fraction of a lease, to half a lease more. The
-** random spread is much longer than a vote takes, so that split votes do not repeat. */
+/* A failed election is retried after the lease divided by this number, plus a random time of up to
+** half a lease. The random time is mostly much longer than a vote takes, so that split votes do not
+** repeat. */
 #define VOTE_RETRY_DIV 5
 
-/* The first pre-vote after a start comes after this fraction of a lease, to twice that time:
-** when all members have just started, they need not wait for a lease that nobody holds. */
+/* The first pre-vote after a start comes after a random time of one to two times the lease divided
+** by this number: when all members have just started, they need not wait for a lease that nobody
+** holds. */
 #define FIRST_PREVOTE_DIV 25
 
 int pwci_is_voter(const pw_cons *c, uint64_t id) {
@@ -95,7 +98,8 @@
     set_election_timer(c, c->lease / VOTE_RETRY_DIV, c->lease / 2);
 }
 
-/* While term or vote are not stored, every message waits for the sync. */
+/* While term or vote are not stored, every message goes into the outbox that is sent after the
+** sync. */
 Pw__Cons *pwci_send(pw_cons *c, pw_outbox *box, pw_cons_type type,
                     uint64_t to) {
   if (c->hard_dirty)
@@ -366,7 +370,8 @@
     return 0;
   if (PW_MUTATION == MUT_LEASE_FOREVER)
     return 1;
-  if (!pwci_is_voter(c, c->id)) /* voters added later may elect without it */
+  /* Voters added later may elect a leader without a member that is no voter. */
+  if (!pwci_is_voter(c, c->id))
     return 0;
   int64_t length = c->lease * LEASE_NUM / LEASE_DEN;
   int n = 0;
@@ -379,7 +384,7 @@
 }
 
 int64_t pwcons_silence(const pw_cons *c) {
-  return c->role == PWCONS_LEADER ? 0 : c->now - c->heard_leader;
+  return c->role == PWCONS_LEADER ? 0 : c->now - c->leader_contact_at;
 }
 
 int64_t pwcons_peer_silence(const pw_cons *c, uint64_t id) {
@@ -439,15 +444,15 @@
   c->commit = s->snapshot->index;
   c->applied = c->commit;
   c->synced = pwconslog_last(&c->log);
-  c->heard_leader =
-      s->now; /* a lease granted before the restart may still run */
+  /* A lease granted before the restart may still run. */
+  c->leader_contact_at = s->now;
   c->is_new = 1;
   c->incarnation = draw(c);
   pwci_reload_config(c);
   set_election_timer(c, c->lease / FIRST_PREVOTE_DIV,
                      c->lease / FIRST_PREVOTE_DIV);
   if (c->config.n == 1 && pwci_is_voter(c, c->id)) {
-    c->heard_leader = s->now - s->lease;
+    c->leader_contact_at = s->now - s->lease;
     pwci_campaign(c, 0, 0);
   }
   return c;
--- a/packages/consensus/pwcons.h
+++ b/packages/consensus/pwcons.h
@@ -60,15 +60,15 @@
 typedef struct pw_cons_setup {
   uint64_t id;
   uint64_t seed;
-  int64_t now;
+  int64_t now;       /* ms */
   int64_t heartbeat; /* interval of a leader's heartbeats, ms */
   int64_t retry;     /* shortest interval between snapshots to one member, ms */
-  int64_t lease;     /* ms */
+  int64_t lease;     /* duration of a lease, ms */
   size_t batch;      /* most entries in one append; 0: the default */
   uint64_t term;
   uint64_t vote;
-  const Pw__Snapshot
-      *snapshot; /* never NULL; the one of index 0 holds the initial config */
+  /* Never NULL; the snapshot of index 0 holds the initial configuration. */
+  const Pw__Snapshot *snapshot;
   Pw__Entry **entries; /* log after the snapshot, in order */
   size_t nentries;
 } pw_cons_setup;
@@ -122,8 +122,8 @@
 /* The next committed entry that this function has not returned yet, or NULL. */
 const Pw__Entry *pwcons_next_committed(pw_cons *c);
 
-/* Frees the state in the snapshot, which is large. Only allowed right before
-** pwcons_compact with a newer state, so that memory never holds two. */
+/* Frees the state in the snapshot, which is large, so that memory never holds
+** two states. Only allowed right before pwcons_compact with a newer state. */
 void pwcons_free_snapshot_state(pw_cons *c);
 
 /* Replaces the log up to `index`, which is past the snapshot's, by a snapshot
@@ -136,7 +136,9 @@
 /* The snapshot that the log starts from. */
 const Pw__Snapshot *pwcons_snapshot(const pw_cons *c);
 
-/* Transfers leadership to the voter with the longest log; 0: none is suited. */
+/* Transfers leadership to the voter with the longest log. Returns 0 if this
+** member does not lead, or if no other voter has all committed entries and has
+** replied within a lease. */
 int pwcons_transfer_leadership(pw_cons *c, int64_t now);
 
 pw_cons_role pwcons_role(const pw_cons *c);
@@ -150,7 +152,7 @@
 ** lease at `now`, during which no other member can become leader. */
 int pwcons_holds_lease(const pw_cons *c, int64_t now);
 
-/* Time since this member last heard from a leader, ms; 0 while it leads. */
+/* Time since the last message from a leader, ms; 0 while this member leads. */
 int64_t pwcons_silence(const pw_cons *c);
 
 /* On the leader: time since member `id` answered, ms; INT64_MAX if `id` is no
--- a/packages/consensus/pwconsint.h
+++ b/packages/consensus/pwconsint.h
@@ -47,7 +47,7 @@
   uint64_t match;           /* highest index known to be on its disk */
   uint64_t next;            /* next index to send */
   int64_t replied_at;       /* time of its last reply, ms */
-  int64_t echoed;           /* newest send time that it has echoed, ms */
+  int64_t echoed;           /* newest send time that a reply of it echoed, ms */
   int64_t snapshot_sent_at; /* ms */
   int granted;              /* it granted the vote or pre-vote */
   int is_new; /* it replied to this incarnation of the process that it is new */
@@ -64,7 +64,7 @@
   uint64_t seed;
   uint64_t draws; /* random numbers drawn so far */
   int64_t now;
-  int64_t heartbeat, retry, lease;
+  int64_t heartbeat, retry, lease; /* as in pw_cons_setup, ms */
   size_t batch;
 
   uint64_t term;
@@ -80,8 +80,8 @@
   uint64_t leader;
   pw_cons_config config;
   uint64_t config_index;
-  int64_t heard_leader;
-  int is_new; /* it has neither led nor heard from a leader since its start */
+  int64_t leader_contact_at; /* time of the last message from a leader, ms */
+  int is_new; /* since its start it has not led, nor got a message of a leader */
   uint64_t incarnation; /* random number, drawn at the start */
   int64_t election_at;  /* the next election or retry starts then */
   int64_t heartbeat_at; /* the next heartbeat is due then */
--- a/packages/consensus/pwelect.c
+++ b/packages/consensus/pwelect.c
@@ -1,16 +1,16 @@
 /* pwelect.c: elections: pre-votes, votes and becoming leader. */
 #include "pwconsint.h"
 
-/* Whether this member has neither led nor heard from a leader since its start. If all voters are
-** new, no lease exists, whatever they granted before: a lease ends with the process that holds
-** it. */
+/* Whether this member has neither led nor received a message from a leader since its start. If all
+** voters are new, no lease exists, whatever they granted before: a lease ends with the process that
+** holds it. */
 static int is_new(const pw_cons *c) {
   return c->is_new || (PW_MUTATION == MUT_FRESH_LEADER);
 }
 
 /* Whether all voters have replied to this incarnation that they are new. A member that becomes
-** leader after those replies has its first entry on the disks of a quorum before it holds a
-** lease. This member, which has heard from no leader, lacks that entry and gets no votes there.
+** leader after those replies has its first entry on the disks of a quorum before it holds a lease.
+** This member, which has received nothing from a leader, lacks that entry and gets no votes there.
 ** Mutations 28 and 29 break this rule. */
 static int all_new(const pw_cons *c) {
   int n = 0, voters = 0;
@@ -93,13 +93,13 @@
 }
 
 /* Whether a leader may still hold a lease, in which case no vote is granted: this member leads,
-** or has heard from a leader within the lease. */
+** or has received a message from a leader within the lease. */
 static int lease_may_be_held(const pw_cons *c, const Pw__Cons *m) {
   if (m->hint == HINT_TRANSFER || (m->hint == HINT_NO_LEASE && is_new(c)))
     return 0;
   if (c->role == PWCONS_LEADER)
     return 1;
-  return c->now - c->heard_leader < c->lease;
+  return c->now - c->leader_contact_at < c->lease;
 }
 
 /* Whether a candidate may learn that this member is new. Only the member with the longest log,
--- a/packages/consensus/pwrepl.c
+++ b/packages/consensus/pwrepl.c
@@ -142,7 +142,7 @@
   if (m->term > c->term || c->role != PWCONS_FOLLOWER)
     pwci_become_follower(c, m->term, m->from);
   c->leader = m->from;
-  c->heard_leader = c->now;
+  c->leader_contact_at = c->now;
   c->is_new = 0;
   pwci_reset_election_timer(c);
 }
--- a/packages/wire/pwkeys.h
+++ b/packages/wire/pwkeys.h
@@ -13,7 +13,7 @@
 pw_keys *pwkeys_load(const char *keys_file, const char *trust_file,
                      void *context, pw_buf *err);
 
-/* Joins that thread and frees the keys; the context must be shut down before. */
+/* Joins the thread of pwkeys_load and frees the keys; the context must be shut down before. */
 void pwkeys_free(pw_keys *k);
 
 /* Makes a listening socket accept only trusted keys. */
--- a/packages/wire/pwwire.c
+++ b/packages/wire/pwwire.c
@@ -84,7 +84,7 @@
   set_int(s->zmq, ZMQ_TCP_KEEPALIVE_IDLE, PW_WIRE_KEEPALIVE_S);
   set_int(s->zmq, ZMQ_TCP_MAXRT, PW_WIRE_LOST_MS);
   set_int(s->zmq, ZMQ_CONNECT_TIMEOUT, PW_WIRE_CONNECT_MS);
-  set_int(s->zmq, ZMQ_RECONNECT_IVL, 50);
+  set_int(s->zmq, ZMQ_RECONNECT_IVL, 50); /* ms, as the next one */
   set_int(s->zmq, ZMQ_RECONNECT_IVL_MAX, 500);
   int64_t max = PW_WIRE_MAX;
   zmq_setsockopt(s->zmq, ZMQ_MAXMSGSIZE, &max, sizeof max);
--- a/packages/wire/pwwire.h
+++ b/packages/wire/pwwire.h
@@ -38,13 +38,14 @@
 /* Sets the revision that all later messages carry. Any thread may call it. */
 void pwwire_set_revision(pw_wire *w, uint64_t revision);
 
-/* Creates a socket that listens on "tcp://IP:PORT"; NULL with a reason in err.
- */
+/* Creates a socket that listens on "tcp://IP:PORT". NULL with a reason in
+** err. */
 pw_sock *pwwire_listen(pw_wire *w, const char *addr, pw_buf *err);
 
-/* Creates a socket for outgoing connections, and connects it to one more peer:
-** fills *peer and returns 0, or -1. */
+/* Creates a socket for outgoing connections. */
 pw_sock *pwwire_dialler(pw_wire *w);
+
+/* Connects such a socket to one more peer. Fills *peer and returns 0, or -1. */
 int pwwire_dial(pw_sock *s, const char *addr, pw_peer *peer);
 
 /* Reads the address of the next dialled peer whose connection was lost; 0: no
