--- a/packages/control/pwbusy.c
+++ b/packages/control/pwbusy.c
@@ -31,14 +31,14 @@
   if (elapsed_ms < PERIOD_MS)
     return;
   for (int i = 0; i < PW_BUSY_KINDS; i++) {
-    int64_t all = pwcount_get(p->counters, kinds[i]);
-    sent[i] = all - b->sent[i];
-    b->sent[i] = all;
+    int64_t total = pwcount_get(p->counters, kinds[i]);
+    sent[i] = total - b->sent[i];
+    b->sent[i] = total;
     sum += sent[i];
   }
-  double room = p->set->control_link * BITS_PER_MBIT / BITS_PER_BYTE *
-                (double)elapsed_ms / PERIOD_MS * BUSY_SHARE;
-  if ((room > 0 && (double)sum > room) ||
+  double busy_bytes = p->set->control_link * BITS_PER_MBIT / BITS_PER_BYTE *
+                      (double)elapsed_ms / PERIOD_MS * BUSY_SHARE;
+  if ((busy_bytes > 0 && (double)sum > busy_bytes) ||
       b->round_ms > p->set->control_lease / SLOW_LEASE_PART)
     pwlog(LOG_NOTICE, "link-busy",
           "ms=%lld group=%lld notices=%lld documents=%lld calls=%lld "
--- a/packages/control/pwcanaries.c
+++ b/packages/control/pwcanaries.c
@@ -28,6 +28,7 @@
   int64_t elapsed_ms;
   /* when the resource was written, by the wall clock of its writer, ms */
   int64_t written;
+  /* wall-clock time of the order, ms; identifies the rollout */
   uint64_t begun;
   uint64_t resource_version;
 } spec;
@@ -52,10 +53,11 @@
 typedef struct running {
   char service[PW_NAME_MAX];
   uint64_t begun;
-  /* when this instance took the rollout on, and its elapsed time then, ms */
+  /* when this instance began to carry out the rollout, and the elapsed time of
+  ** the rollout then, ms */
   int64_t since, elapsed_ms;
   int share;
-  int64_t share_at; /* when the share was read first, ms */
+  int64_t share_at; /* when this share was first read, ms */
   struct running *next;
 } running;
 
@@ -65,8 +67,8 @@
   double expose_share;
   report *reports;
   running *list;
-  int is_proposed;
-  int64_t checked_at;
+  int is_proposed;    /* a change was proposed and is not decided yet */
+  int64_t checked_at; /* ms */
 };
 
 pw_canaries *pwcanaries_new(const pw_res *res, const pw_watch *watch,
@@ -166,8 +168,8 @@
 
 /* --- time --- */
 
-/* How long the rollout has gone on by the stored times. If the wall clock
-** has jumped, the time since the resource was written counts as over_ms at
+/* Elapsed time of the rollout by the stored times, ms. If the wall clock has
+** jumped, the time since the resource was written counts as over_ms at
 ** most. */
 static int64_t elapsed_by_wall(const spec *s) {
   int64_t since = pwclock_wall_ms() - s->written;
@@ -334,19 +336,19 @@
   sum_reports(c, s, &sum);
   for (int i = 0; i < sum.nroutes; i++)
     route[i] = sum.route[i].sum;
-  pw_canary_input ask = {.over_ms = s->over_ms,
-                         .elapsed_ms = elapsed(u, now),
-                         .in_share_ms = now - u->share_at,
-                         .expose_share = c->expose_share,
-                         .route = route,
-                         .nroutes = sum.nroutes};
-  pwwatch_slots(c->watch, s->service, s->version, &ask.slots_to,
-                &ask.slots_from);
-  if (!pwcanary_next(&s->canary, &ask, &next))
+  pw_canary_input input = {.over_ms = s->over_ms,
+                           .elapsed_ms = elapsed(u, now),
+                           .in_share_ms = now - u->share_at,
+                           .expose_share = c->expose_share,
+                           .route = route,
+                           .nroutes = sum.nroutes};
+  pwwatch_slots(c->watch, s->service, s->version, &input.slots_to,
+                &input.slots_from);
+  if (!pwcanary_next(&s->canary, &input, &next))
     return NULL;
   log_change(s, &next, pwcanary_ratio(route, sum.nroutes), &sum);
   s->canary = next;
-  s->elapsed_ms = ask.elapsed_ms;
+  s->elapsed_ms = input.elapsed_ms;
   s->written = pwclock_wall_ms();
   return change_to(s);
 }
--- a/packages/control/pwcontrol.c
+++ b/packages/control/pwcontrol.c
@@ -15,14 +15,14 @@
 
 #define TICK_MS 10
 #define ITERATION_MS 100 /* ms; a longer iteration of the loop was stalled */
-/* the loop counts as stalled if its latest iteration began longer ago, ms */
+/* The loop counts as stalled if its latest iteration began longer ago, ms. */
 #define STALL_MS 200
 #define BODY_MAX (16 * 1024 * 1024)
-/* every target may keep one open for its heartbeats */
+/* Open HTTP connections: every target may keep one for its heartbeats. */
 #define CONNECTIONS_MAX 3000
-#define TRANSFER_MS 2000  /* for the transfer of leadership before a stop */
-#define END_CALLS_MS 1000 /* for answers to reach slow callers */
-/* a planned change that is not decided by then counts as lost */
+#define TRANSFER_MS 2000  /* limit of a leadership transfer before a stop */
+#define END_CALLS_MS 1000 /* time for answers to reach slow callers */
+/* A planned change that is not decided within this time counts as lost, ms. */
 #define PLAN_MS 5000
 
 static void fill_feed_state(const pw_control *c, pw_feed_state *st,
@@ -188,7 +188,7 @@
   int n = pwgroup_members(c->group, members);
   int is_member = pwgroup_is_member(c->group);
   pwwatch_group(c->watch, members, n, is_member, now);
-  pwwatch_tick(c->watch, pwgroup_in_touch(c->group, now),
+  pwwatch_tick(c->watch, pwgroup_has_contact(c->group, now),
                pwgroup_is_leader(c->group), now);
   pwleave_work(c->leave, is_member, now);
   atomic_store(&c->is_connected, pwwatch_is_connected(c->watch, now));
@@ -336,9 +336,9 @@
     pwproc_refuse(h, rc, message, "not-run", 0);
 }
 
-static void on_http_done(void *arg, void *request, int whole) {
+static void on_http_done(void *arg, void *request, int complete) {
   (void)arg;
-  (void)whole;
+  (void)complete;
   pwapi_request_done(request);
 }
 
@@ -387,13 +387,13 @@
 pw_code pwcontrol_run(pw_proc *p, pw_buf *err) {
   pw_control c = {.p = p, .lag.iteration_max_ms = ITERATION_MS};
   pw_code rc = PW_E_SETTINGS;
-  pw_group_callbacks calls = {&c, on_applied, on_leadership};
+  pw_group_callbacks callbacks = {&c, on_applied, on_leadership};
   c.mail = pwmail_new();
   c.dialler = pwwire_dialler(p->wire);
   c.listener = pwwire_listen(p->wire, p->set->control_wire, err);
   if (!c.listener)
     goto out;
-  rc = pwgroup_open(p, c.dialler, &calls, &c.group, err);
+  rc = pwgroup_open(p, c.dialler, &callbacks, &c.group, err);
   if (rc != PW_OK)
     goto out;
   c.feed = pwfeed_new(p, c.listener, pwctl_resources(&c));
--- a/packages/control/pwctl.h
+++ b/packages/control/pwctl.h
@@ -57,7 +57,7 @@
   uint64_t plan_index;
   /* the planned change is of a service rollout, not of a model */
   int plan_is_rollout;
-  int64_t plan_at;
+  int64_t plan_at; /* when that change was proposed, ms */
   pw_ctl_waiter *waiters;
   pw_ctl_long_poll *long_polls;
   char *operators;
@@ -65,7 +65,7 @@
   /* revision of the resources when leadership began */
   uint64_t leader_since_revision;
   int64_t leader_since;
-  int64_t stop_at;
+  int64_t stop_at; /* when the process began to stop, ms; 0: it did not */
   /* when the latest iteration of the loop began, ms */
   _Atomic int64_t iteration_at;
   pw_lag lag;               /* stalls of the event loop */
--- a/packages/control/pwctlcall.c
+++ b/packages/control/pwctlcall.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_MS 10000      /* for a proposal to be decided */
+#define WAIT_MS 10000      /* time for a proposal to be decided */
 #define LONG_POLL_MS 25000 /* a long poll is answered by then, changed or not */
 #define NS_PER_US 1000
 
@@ -74,11 +74,12 @@
                              int64_t now) {
   json_t *o = pwapi_resource_json(one);
   pw_feed_sum sum = sum_up(c);
-  json_t *force = in_force(c, &sum, now);
-  json_int_t revision = json_integer_value(json_object_get(force, "revision"));
+  json_t *observed = in_force(c, &sum, now);
+  json_int_t revision =
+      json_integer_value(json_object_get(observed, "revision"));
   int everywhere = revision >= (json_int_t)one->revision &&
-                   json_is_true(json_object_get(force, "settled"));
-  json_object_set_new(o, "observed", force);
+                   json_is_true(json_object_get(observed, "settled"));
+  json_object_set_new(o, "observed", observed);
   json_object_set_new(o, "status",
                       json_pack("{s:b}", "in_force_everywhere", everywhere));
   return o;
@@ -198,8 +199,8 @@
     pwapi_fail(call, rc, "", "not-run", NULL);
 }
 
-/* An evacuation that is in force already goes through the log, too: an order
-** that ends it may be in flight. */
+/* The order of an evacuation that is already in force goes through the log,
+** too, since an order that ends the evacuation may be in flight. */
 static void handle_evacuation(pw_control *c, pw_api_call *call, int64_t now) {
   if (pwgroup_lease(c->group, now))
     propose_change(c, call, now);
@@ -283,7 +284,7 @@
   send_claimed(c, from, &cl);
 }
 
-/* --- answers after the log --- */
+/* --- answers to committed proposals --- */
 
 static json_t *outcome_json(const Pw__Outcome *o) {
   json_t *list = json_array();
@@ -297,7 +298,7 @@
                           const Pw__Outcome *o) {
   pwcount_observe(c->p->counters, PWH_ACCEPT,
                   (pwclock_ns() - call->started) / NS_PER_US);
-  /* Another operator ended it first; the result is the same. */
+  /* Another operator ended the evacuation first; the result is the same. */
   int is_done = call->op == PW_API_EVACUATE && o->code == PW_E_NOT_FOUND;
   if (o->code == PW_OK || is_done) {
     pwcount_add(c->p->counters, PWC_CHANGES, o->code == PW_OK);
--- a/packages/control/pwdocsend.c
+++ b/packages/control/pwdocsend.c
@@ -1,4 +1,4 @@
-/* pwdocsend.c: sends the configuration document to the gateways that want it. */
+/* pwdocsend.c: sends the configuration document to gateways that want it. */
 #include "pwdocsend.h"
 
 #include "pwbuf.h"
@@ -9,7 +9,7 @@
 
 /* A gateway that wants or holds the document. */
 typedef struct receiver {
-  pw_spread_peer place; /* must be the first field: all[] points to it */
+  pw_spread_peer spread; /* must be the first field: all[] points to it */
   pw_peer peer;
   uint64_t incarnation;
   /* address at which it serves documents to other gateways; "": it serves
@@ -58,7 +58,7 @@
   receiver *one = pw_alloc(sizeof *one);
   one->peer = *from;
   one->incarnation = incarnation;
-  one->place.id = ++h->last_id;
+  one->spread.id = ++h->last_id;
   if (h->n == h->cap) {
     h->cap = h->cap ? h->cap * 2 : 16;
     pw_spread_peer **larger = pw_alloc(sizeof *larger * h->cap);
@@ -67,7 +67,7 @@
     free(h->all);
     h->all = larger;
   }
-  h->all[h->n++] = &one->place;
+  h->all[h->n++] = &one->spread;
   return one;
 }
 
@@ -77,10 +77,10 @@
   receiver *one = i < h->n ? receiver_at(h, i) : add(h, from, incarnation);
   uint64_t newest = pwdoc_version(h->doc);
   pw_copy(one->relay, sizeof one->relay, m->relay);
-  one->place.can_serve = m->relay[0] != 0;
-  pwspread_received(&one->place, m->site, newest, h->all, h->n);
+  one->spread.can_serve = m->relay[0] != 0;
+  pwspread_received(&one->spread, m->site, newest, h->all, h->n);
   if (m->want && m->site < newest)
-    pwspread_request(&one->place, now);
+    pwspread_request(&one->spread, now);
 }
 
 void pwdocsend_drop(pw_docsend *h, const pw_peer *from, uint64_t incarnation) {
--- a/packages/control/pwdocsend.h
+++ b/packages/control/pwdocsend.h
@@ -1,6 +1,6 @@
-/* pwdocsend.h: sends the configuration document to the gateways that want it. A
-** gateway gets it from this instance, or from another gateway that holds it
-** (pwspread); what is sent from here is paced (pwpace). */
+/* pwdocsend.h: sends the configuration document to the gateways that want it.
+** A gateway gets it from this instance, at a limited rate (pwpace), or from
+** another gateway that holds it (pwspread). */
 #ifndef PWDOCSEND_H
 #define PWDOCSEND_H
 
--- a/packages/control/pwgroup.c
+++ b/packages/control/pwgroup.c
@@ -9,11 +9,13 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Interval of Join messages, ms; the second one while the group has as many
+** members as it may have. */
 #define JOIN_MS 200
-/* while the group has as many members as it may have */
 #define JOIN_SLOW_MS 1000
 #define DISK_RETRY_MS 200 /* interval at which a full disk is tried again */
-/* a leader whose disk is full stays active so long to transfer leadership */
+/* A leader whose disk is full stays active for this time to transfer its
+** leadership, ms. */
 #define TRANSFER_MS 50
 #define ENTRY_OVERHEAD 256 /* bytes of a log record besides the command */
 
@@ -37,8 +39,8 @@
 }
 
 /* An instance with a full disk takes no part in the consensus, so that the
-** others elect a leader and form the quorum. What waits to be stored is
-** tried again at intervals. */
+** others elect a leader and form the quorum. Entries that wait to be
+** stored are tried again at intervals. */
 static int is_passive(pw_group *g, int64_t now) {
   if (!g->disk_full)
     return 0;
@@ -124,7 +126,7 @@
       pw__command__free_unpacked(cmd, NULL);
     }
   }
-  g->calls.applied(g->calls.arg, e, outcome, claimed);
+  g->callbacks.applied(g->callbacks.arg, e, outcome, claimed);
 }
 
 static pw_code take_snapshot(pw_group *g) {
@@ -160,7 +162,7 @@
         (unsigned long long)pwgroup_term(g));
   if (leader)
     pwcount_add(g->p->counters, PWC_ELECTIONS, 1);
-  g->calls.role_changed(g->calls.arg, leader);
+  g->callbacks.role_changed(g->callbacks.arg, leader);
 }
 
 pw_code pwgroup_work(pw_group *g, int64_t now) {
@@ -207,12 +209,12 @@
 /* --- start, stop and state --- */
 
 pw_code pwgroup_open(pw_proc *p, pw_sock *dialler,
-                     const pw_group_callbacks *calls, pw_group **out,
+                     const pw_group_callbacks *callbacks, pw_group **out,
                      pw_buf *err) {
   pw_group *g = pw_alloc(sizeof *g);
   g->p = p;
   g->sock = dialler;
-  g->calls = *calls;
+  g->callbacks = *callbacks;
   g->slot = (uint32_t)p->set->control_id;
   g->state = pwstate_new();
   g->may_found = 1;
@@ -264,13 +266,13 @@
 }
 
 /* A lease counts only once all that is committed is applied: a new leader
-** may have learnt just now what the one before has accepted. */
+** may only just have learnt of entries that its predecessor accepted. */
 int pwgroup_lease(const pw_group *g, int64_t now) {
   return g->cons && pwcons_holds_lease(g->cons, now) &&
          g->applied >= pwcons_commit(g->cons);
 }
 
-int pwgroup_in_touch(const pw_group *g, int64_t now) {
+int pwgroup_has_contact(const pw_group *g, int64_t now) {
   if (!g->cons)
     return 0;
   if (pwgroup_is_leader(g))
--- a/packages/control/pwgroup.h
+++ b/packages/control/pwgroup.h
@@ -24,7 +24,7 @@
 /* Opens the data folder and resumes membership of the group that is stored
 ** there, if any. Reasons for a failure go to err. */
 pw_code pwgroup_open(pw_proc *p, pw_sock *dialler,
-                     const pw_group_callbacks *calls, pw_group **out,
+                     const pw_group_callbacks *callbacks, pw_group **out,
                      pw_buf *err);
 void pwgroup_close(pw_group *g);
 
@@ -70,7 +70,7 @@
 int pwgroup_send_to_leader(pw_group *g, Pw__Envelope *e);
 
 /* Whether there is contact with a leader, or this instance is the leader. */
-int pwgroup_in_touch(const pw_group *g, int64_t now);
+int pwgroup_has_contact(const pw_group *g, int64_t now);
 
 /* Whether this instance belongs to the group, as far as it knows. */
 int pwgroup_is_member(const pw_group *g);
--- a/packages/control/pwgroupint.h
+++ b/packages/control/pwgroupint.h
@@ -22,7 +22,7 @@
 struct pw_group {
   pw_proc *p;
   pw_sock *sock;
-  pw_group_callbacks calls;
+  pw_group_callbacks callbacks;
   pw_store *store;
   pw_state *state;
   pw_cons *cons; /* NULL while not in a group */
@@ -31,16 +31,16 @@
   contact *contacts;
   int nlisted; /* number of contacts in the settings, without this instance */
   int may_found;
-  int uses_seeds; /* the settings have control.seeds, not control.peers */
-  int64_t join_sent_at;
+  int uses_seeds;       /* the settings have control.seeds, not control.peers */
+  int64_t join_sent_at; /* ms */
   int was_leader;
   int disk_full;
-  /* while the disk is full: it is not tried again before, ms */
+  /* while the disk is full: earliest time of the next attempt to write, ms */
   int64_t disk_retry_at;
   pw_cons_member joining; /* learner to be added; id 0: none */
-  /* outside of the group: its members, as one of them reported */
+  /* members of the group as one of them reported, if this is not a member */
   pw_cons_config known_members;
-  /* the leader's HTTP address from the same report; "": not known */
+  /* the leader's HTTP address from that report; "": not known */
   char known_leader[PWCONS_ADDR];
   uint64_t applied;
 };
--- a/packages/control/pwjoin.c
+++ b/packages/control/pwjoin.c
@@ -115,8 +115,8 @@
   }
   g->applied = st->snapshot->index;
   g->cons = pwcons_new(&s);
-  g->known_members =
-      (pw_cons_config){0}; /* from now on its own configuration counts */
+  /* from now on the instance's own configuration counts */
+  g->known_members = (pw_cons_config){0};
   return PW_OK;
 }
 
@@ -187,9 +187,9 @@
   return pwgi_found(g, &config, pwgi_number(&config), pwgi_first_term(), now);
 }
 
-/* A voter by its own log may have been removed since, and all members that
-** it knows may have new addresses. With no contact for so many leases it
-** asks the seeds, too. */
+/* An instance that is a voter by its own log may have been removed from the
+** group since, and all members that it knows may have new addresses. Without
+** contact for this many leases it asks the seeds, too. */
 #define SILENT_LEASES 3
 
 int pwgi_must_join(const pw_group *g) {
--- a/packages/control/pwleave.c
+++ b/packages/control/pwleave.c
@@ -5,13 +5,13 @@
 
 #include <stdlib.h>
 
-/* Time for a confirmation, ms. A target that has no answer turns to another
+/* Time for a confirmation, ms. A target without an answer turns to another
 ** instance after a second. */
 #define CONFIRM_MS 400
 
 typedef struct waiter {
   pw_api_call *call;
-  uint64_t number;
+  uint64_t seq; /* number of the update that must be confirmed */
   int64_t since;
   struct waiter *next;
 } waiter;
@@ -49,13 +49,13 @@
   pwapi_answer_text(call, "{}", 2);
 }
 
-void pwleave_add(pw_leave *l, pw_api_call *call, uint64_t number, int64_t now) {
-  if (!number) {
+void pwleave_add(pw_leave *l, pw_api_call *call, uint64_t seq, int64_t now) {
+  if (!seq) {
     acknowledge(call);
     return;
   }
   waiter *one = pw_alloc(sizeof *one);
-  *one = (waiter){call, number, now, l->first};
+  *one = (waiter){call, seq, now, l->first};
   l->first = one;
 }
 
@@ -73,7 +73,7 @@
   uint64_t confirmed = pwwatch_replicated_seq(l->watch);
   for (waiter **at = &l->first; *at;) {
     waiter *one = *at;
-    int is_confirmed = confirmed >= one->number;
+    int is_confirmed = confirmed >= one->seq;
     if (!is_confirmed && now - one->since < CONFIRM_MS) {
       at = &one->next;
       continue;
--- a/packages/control/pwleave.h
+++ b/packages/control/pwleave.h
@@ -19,8 +19,8 @@
 void pwleave_end(pw_leave *l);
 
 /* Takes a call that is acknowledged once another instance has confirmed all
-** updates up to this number; 0: at once. */
-void pwleave_add(pw_leave *l, pw_api_call *call, uint64_t number, int64_t now);
+** updates up to `seq`; 0: at once. */
+void pwleave_add(pw_leave *l, pw_api_call *call, uint64_t seq, int64_t now);
 
 /* Answers the calls that were confirmed or waited too long; `is_member`:
 ** this instance is a member of the group. */
--- a/packages/control/pwoutbox.h
+++ b/packages/control/pwoutbox.h
@@ -48,7 +48,8 @@
   size_t n;
 } pw_outbox_batch;
 
-/* Packs the updates for which `concerns` holds; freed with pwoutbox_free_batch. */
+/* Packs the updates for which `concerns` holds; freed with
+** pwoutbox_free_batch. */
 void pwoutbox_make_batch(pw_outbox_batch *b, const pw_outbox *o,
                          int (*concerns)(const pw_target_update *t),
                          int64_t now);
--- a/packages/control/pwpeers.c
+++ b/packages/control/pwpeers.c
@@ -9,8 +9,8 @@
 
 #define WATCH_MS 500 /* interval of Watch messages to other control instances */
 
-/* An instance of which updates are missing is asked for everything, and
-** again when that has not arrived so long after, ms. */
+/* An instance whose updates are missing here is asked for all targets, and
+** asked again if they have not arrived within this time, ms. */
 #define REQUEST_ALL_MS 2000
 
 typedef struct link {
@@ -26,7 +26,7 @@
   pw_sock *dialler;
   link *links;
   pw_mesh mesh;
-  int is_limit_logged; /* the limit of known instances was reached, and logged */
+  int is_limit_logged; /* the log has that too many instances are known */
 };
 
 pw_peers *pwpeers_new(pw_proc *p, pw_sock *dialler) {
@@ -134,8 +134,8 @@
 }
 
 /* A watcher that begins to watch for all targets is sent the table of all of
-** them. An instance that watches for all already ends that with the first
-** message and begins anew with the second. */
+** them. An instance that watches for all targets already stops with the first
+** message and begins again with the second. */
 static void request_missing(pw_peers *o, pw_mesh_peer *p, int64_t now) {
   link *one = link_of(o, p->addr);
   int is_missing = one->must_request_all || !p->received.is_complete;
--- a/packages/control/pwpeers.h
+++ b/packages/control/pwpeers.h
@@ -22,8 +22,8 @@
 void pwpeers_on_notice(pw_peers *o, const pw_peer *from, const Pw__Envelope *e,
                        int64_t now);
 
-/* Requests everything from an instance that sent a renewal of a target
-** unknown here, as after a long stall. */
+/* Requests all targets from an instance that sent a renewal of a target that
+** is unknown here, as after a long stall. */
 void pwpeers_request_all(pw_peers *o, const pw_peer *from);
 
 /* Sends the Watch messages that are due. */
--- a/packages/control/pwplanner.c
+++ b/packages/control/pwplanner.c
@@ -162,7 +162,7 @@
   } else if (row) {
     row->has_serve = 0;
     row->has_load = step->kind != PW_PLAN_RETIRE;
-    row->attempt += step->kind != PW_PLAN_PAUSE; /* ends the order before */
+    row->attempt += step->kind != PW_PLAN_PAUSE; /* ends the previous order */
   }
   if (row && step->kind == PW_PLAN_LOAD) {
     pw_copy(row->load, sizeof row->load, step->version);
@@ -186,25 +186,25 @@
 
 /* --- rollouts --- */
 
-static void read_steps(const json_t *spec, pw_rollout_input *ask) {
+static void read_steps(const json_t *spec, pw_rollout_input *input) {
   size_t i;
   const json_t *step;
   json_array_foreach(json_object_get(spec, "steps"), i, step) {
-    if (ask->nsteps < PWROLLOUT_STEPS)
-      ask->step[ask->nsteps++] = json_number_value(step);
+    if (input->nsteps < PWROLLOUT_STEPS)
+      input->step[input->nsteps++] = json_number_value(step);
   }
 }
 
 static void read_version(const pw_planner *pl, const char *name,
-                         pw_rollout_input *ask) {
+                         pw_rollout_input *input) {
   const pw_resource *one = pwres_get(pl->res, "version", name);
   json_t *spec = one ? json_loads(one->spec, 0, NULL) : NULL;
-  read_steps(spec, ask);
-  ask->max_errors = pwjson_number(spec, "max_error_share", PWROLLOUT_ERRORS);
-  ask->step_ms =
+  read_steps(spec, input);
+  input->max_errors = pwjson_number(spec, "max_error_share", PWROLLOUT_ERRORS);
+  input->step_ms =
       (int64_t)(pwjson_number(spec, "step_s", PWROLLOUT_STEP_MS / 1000.0) *
                 1000);
-  ask->min_requests = pwjson_number(spec, "min_requests", PWROLLOUT_REQUESTS);
+  input->min_requests = pwjson_number(spec, "min_requests", PWROLLOUT_REQUESTS);
   json_decref(spec);
 }
 
@@ -220,27 +220,27 @@
 
 /* Counts the attempts that ended since the rollout step began, and for how
 ** long its share has been in force. */
-static void count_step(const pw_planner *pl, model *m, pw_rollout_input *ask,
+static void count_step(const pw_planner *pl, model *m, pw_rollout_input *input,
                        int64_t now) {
   const pw_rollout *r = &m->rollout;
-  double dt, ft, df, ff;
-  sum_versions(pl, m, &dt, &ft, &df, &ff);
+  double done_to, failed_to, done_from, failed_from;
+  sum_versions(pl, m, &done_to, &failed_to, &done_from, &failed_from);
   if (m->counted_step != r->step || strcmp(m->counted_version, r->to) != 0) {
     m->counted_step = r->step;
     pw_copy(m->counted_version, sizeof m->counted_version, r->to);
-    m->done_to = dt;
-    m->failed_to = ft;
-    m->done_from = df;
-    m->failed_from = ff;
+    m->done_to = done_to;
+    m->failed_to = failed_to;
+    m->done_from = done_from;
+    m->failed_from = failed_from;
     m->share_reached_at = 0;
   }
-  if (!m->share_reached_at && r->share >= pwrollout_goal(r, ask))
+  if (!m->share_reached_at && r->share >= pwrollout_goal(r, input))
     m->share_reached_at = now;
-  ask->done_to = dt - m->done_to;
-  ask->failed_to = ft - m->failed_to;
-  ask->done_from = df - m->done_from;
-  ask->failed_from = ff - m->failed_from;
-  ask->in_step = m->share_reached_at ? now - m->share_reached_at : 0;
+  input->done_to = done_to - m->done_to;
+  input->failed_to = failed_to - m->failed_to;
+  input->done_from = done_from - m->done_from;
+  input->failed_from = failed_from - m->failed_from;
+  input->in_step = m->share_reached_at ? now - m->share_reached_at : 0;
 }
 
 /* Counts the targets at which the version cannot be loaded. While it runs
@@ -262,15 +262,15 @@
 static void advance_rollout(pw_planner *pl, model *m, const slots *sl,
                             Pw__Change *ch, int64_t now) {
   pw_rollout next;
-  pw_rollout_input ask = {.wanted = m->wanted_version,
-                          .asked = m->resource_version,
-                          .is_new =
-                              !m->has_rollout && m->resource_version == 1};
-  read_version(pl, m->wanted_version, &ask);
-  ask.ready = pwplan_ready(sl->s, sl->n, m->rollout.to);
-  ask.loads_failed = count_failed(sl, m->rollout.to);
-  count_step(pl, m, &ask, now);
-  if (!pwrollout_next(&m->rollout, &ask, &next))
+  pw_rollout_input input = {.wanted = m->wanted_version,
+                            .asked = m->resource_version,
+                            .is_new =
+                                !m->has_rollout && m->resource_version == 1};
+  read_version(pl, m->wanted_version, &input);
+  input.ready = pwplan_ready(sl->s, sl->n, m->rollout.to);
+  input.loads_failed = count_failed(sl, m->rollout.to);
+  count_step(pl, m, &input, now);
+  if (!pwrollout_next(&m->rollout, &input, &next))
     return;
   m->rollout = next;
   put_rollout(ch, m);
@@ -279,9 +279,9 @@
 /* --- the plan --- */
 
 static double goal_share(const pw_planner *pl, const model *m) {
-  pw_rollout_input ask = {0};
-  read_version(pl, m->rollout.to, &ask);
-  return pwrollout_goal(&m->rollout, &ask);
+  pw_rollout_input input = {0};
+  read_version(pl, m->rollout.to, &input);
+  return pwrollout_goal(&m->rollout, &input);
 }
 
 /* Updates the slot as if the step were written already. */
@@ -307,13 +307,13 @@
 
 static void plan_model(pw_planner *pl, model *m, slots *sl, Pw__Change *ch,
                        int *loading, uint64_t term, int64_t now) {
-  pw_plan_input ask = {.from = m->rollout.from,
-                       .to = m->rollout.to,
-                       .share = goal_share(pl, m),
-                       .replicas = m->replicas};
+  pw_plan_input input = {.from = m->rollout.from,
+                         .to = m->rollout.to,
+                         .share = goal_share(pl, m),
+                         .replicas = m->replicas};
   while (ch->n_puts < BATCH_MAX) {
-    ask.may_load = *loading < pl->loads_at_once && now >= pl->next_load_at;
-    pw_plan_step step = pwplan_next(&ask, sl->s, sl->n, now);
+    input.may_load = *loading < pl->loads_at_once && now >= pl->next_load_at;
+    pw_plan_step step = pwplan_next(&input, sl->s, sl->n, now);
     if (step.kind == PW_PLAN_NONE)
       return;
     slot *s = sl->of[step.slot];
--- a/packages/control/pwplannerint.h
+++ b/packages/control/pwplannerint.h
@@ -32,7 +32,7 @@
   char role[PW_NAME_MAX];
   slot *slot;
   int nslots;
-  int batch; /* the batch that writes its assignment; see pw_planner */
+  int batch; /* number of the last batch that wrote its assignment */
   UT_hash_handle hh;
 };
 
@@ -51,7 +51,7 @@
   double done_to, failed_to, done_from, failed_from;
   int counted_step; /* step and version to which these sums belong */
   char counted_version[PW_NAME_MAX];
-  /* when the share of the step came in force, ms; 0: not yet */
+  /* when the share of the step came into force, ms; 0: not yet */
   int64_t share_reached_at;
   UT_hash_handle hh;
 } model;
@@ -64,8 +64,8 @@
   uint64_t read_revision; /* revision up to which the resources were read */
   /* number of changes of target states up to the last pass */
   uint64_t changes_seen;
-  int64_t last_pass_at;
-  /* earliest time for the next load, ms: it spares the weight store */
+  int64_t last_pass_at; /* ms */
+  /* earliest time of the next load, ms; limits the load on the weight store */
   int64_t next_load_at;
   /* bytes a second that the weight store may deliver; 0: no limit */
   double weights_rate;
--- a/packages/control/pwpublish.c
+++ b/packages/control/pwpublish.c
@@ -6,7 +6,7 @@
 
 #include <stdlib.h>
 
-/* time for a proposal to be decided; its outcome is unknown after that */
+/* Time for a proposal to be decided, ms; its outcome is unknown after that. */
 #define DECIDE_MS 3000
 
 typedef struct pending {
@@ -109,7 +109,7 @@
     return;
   int is_own = e->index == p->index && e->term == p->term;
   p->index = 0;
-  if (!is_own) { /* another leader has an entry at this index */
+  if (!is_own) { /* an entry of another leader took this index */
     fail_all(p);
     return;
   }
--- a/packages/control/pwreads.c
+++ b/packages/control/pwreads.c
@@ -47,7 +47,7 @@
 }
 
 /* Asks the leader for its commit index; 0: no leader is known. */
-static int ask(pw_reads *r) {
+static int ask_leader(pw_reads *r) {
   Pw__Confirm m = PW__CONFIRM__INIT;
   m.number = ++r->last_number;
   Pw__Envelope e = PW_ENVELOPE(CONFIRM, confirm, &m);
@@ -59,7 +59,7 @@
     pwsitecall_answer_site(call, r->g);
     return;
   }
-  if (pwgroup_is_leader(r->g) || !ask(r)) {
+  if (pwgroup_is_leader(r->g) || !ask_leader(r)) {
     pwsitecall_redirect_to_leader(call, r->g);
     return;
   }
@@ -68,8 +68,8 @@
   r->first = one;
 }
 
-static void confirm(pw_reads *r, pw_sock *sock, const pw_peer *to,
-                    const Pw__Confirm *m, int64_t now) {
+static void on_confirm(pw_reads *r, pw_sock *sock, const pw_peer *to,
+                       const Pw__Confirm *m, int64_t now) {
   Pw__Confirmed out = PW__CONFIRMED__INIT;
   out.number = m->number;
   out.leads = pwgroup_lease(r->g, now);
@@ -78,9 +78,9 @@
   pwwire_send(sock, to, &e);
 }
 
-/* Numbers rise with time: an answer holds for all reads that came before its
-** question. */
-static void confirmed(pw_reads *r, const Pw__Confirmed *m) {
+/* Numbers rise with time: a Confirmed message counts for all reads that came
+** before the Confirm message that it answers. */
+static void on_confirmed(pw_reads *r, const Pw__Confirmed *m) {
   for (waiter *one = r->first; one && m->leads; one = one->next)
     if (!one->index && one->number <= m->number)
       one->index = m->index;
@@ -89,9 +89,9 @@
 void pwreads_message(pw_reads *r, pw_sock *sock, const pw_peer *from,
                      const Pw__Envelope *e, int64_t now) {
   if (e->body_case == PW__ENVELOPE__BODY_CONFIRM)
-    confirm(r, sock, from, e->confirm, now);
+    on_confirm(r, sock, from, e->confirm, now);
   else if (e->body_case == PW__ENVELOPE__BODY_CONFIRMED)
-    confirmed(r, e->confirmed);
+    on_confirmed(r, e->confirmed);
 }
 
 void pwreads_work(pw_reads *r, int64_t now) {
--- a/packages/control/pwsitecall.c
+++ b/packages/control/pwsitecall.c
@@ -85,11 +85,11 @@
 
 /* Takes a heartbeat. An isolated instance refuses it, so that the target
 ** turns to an instance whose updates reach the group. */
-static void take_beat(pw_api_call *call, const pw_group *g, pw_watch *w,
-                      pw_leave *l, int64_t now) {
-  uint64_t number = pwwatch_beat(w, &call->beat, call->op == PW_API_LEAVE, now);
+static void take_heartbeat(pw_api_call *call, const pw_group *g, pw_watch *w,
+                           pw_leave *l, int64_t now) {
+  uint64_t seq = pwwatch_beat(w, &call->beat, call->op == PW_API_LEAVE, now);
   if (pwwatch_is_connected(w, now) || pwgroup_may_found(g))
-    pwleave_add(l, call, number, now);
+    pwleave_add(l, call, seq, now);
   else
     pwapi_fail(call, PW_E_ISOLATED, "", "unknown", NULL);
 }
@@ -99,7 +99,7 @@
   switch (call->op) {
   case PW_API_BEAT:
   case PW_API_LEAVE:
-    take_beat(call, g, w, l, now);
+    take_heartbeat(call, g, w, l, now);
     break;
   case PW_API_SITE_WRITE:
     if (pwgroup_lease(g, now))
--- a/packages/control/pwwatch.c
+++ b/packages/control/pwwatch.c
@@ -55,8 +55,9 @@
   /* when it asked for the table of all targets; 0: it does not wait for one */
   int64_t table_asked_at;
   int64_t received_at, notified_at, lists_sent_at;
-  uint64_t announced_version;  /* of the configuration */
-  uint64_t announced_revision; /* of the evacuated availability zones */
+  /* versions of the configuration and of the evacuated availability zones that
+  ** the last Notice to it named */
+  uint64_t announced_version, announced_revision;
   int64_t suspects_sent_at; /* when it was sent the quarantined fingerprints */
   struct watcher *next;
 } watcher;
@@ -80,11 +81,11 @@
   uint64_t last_seq;
   /* a call waits until another instance confirms the next update */
   int must_confirm;
-  int64_t gateways_changed_at; /* when a gateway came or went last, ms */
+  int64_t gateways_changed_at; /* when a gateway was last added or dropped */
   /* quarantined fingerprints as gateways reported them; sent to gateways
   ** that start anew */
   pw_quarantine *quarantine;
-  /* where in the quarantine the next list of suspects begins */
+  /* index in the quarantine at which the next list of suspects begins */
   size_t next_suspect;
   pw_docsend *docsend;
   pw_pace bulk_pace; /* rate of tables and documents */
@@ -93,7 +94,7 @@
   int is_isolated;
   /* number of the last update of this instance that is in the table */
   uint64_t table_number;
-  int in_touch; /* there is contact with a leader */
+  int has_contact; /* there is contact with a leader */
   int leads;
 };
 
@@ -192,7 +193,7 @@
 ** sends it. */
 static void send_notice(pw_watch *w, watcher *to, Pw__Notice *n, int64_t now) {
   n->site = pwdoc_version(w->doc);
-  n->in_touch = w->in_touch;
+  n->in_touch = w->has_contact;
   n->watch_ms = (uint32_t)notice_interval_ms(w);
   n->number = to->gossip[0] ? 0 : n->full ? w->table_number : w->last_seq;
   n->revision = w->evacuated.revision;
@@ -440,7 +441,7 @@
 
 static int may_receive_requests(const pw_watch *w, const pw_target *t) {
   return !t->is_gone && !t->is_leaving && !t->is_silent &&
-         !pwzones_holds(&w->evacuated, t->availability_zone);
+         !pwzones_has(&w->evacuated, t->availability_zone);
 }
 
 void pwwatch_slots(const pw_watch *w, const char *service, const char *version,
@@ -457,7 +458,7 @@
   return &w->evacuated;
 }
 
-/* Notes that a watcher came or went, if it is a gateway. */
+/* Notes that a watcher was added or dropped, if it is a gateway. */
 static void note_gateway_change(pw_watch *w, const watcher *one) {
   if (one->gossip[0])
     w->gateways_changed_at = pwclock_ms();
@@ -689,8 +690,8 @@
   w->is_isolated = isolated;
 }
 
-void pwwatch_tick(pw_watch *w, int in_touch, int leads, int64_t now) {
-  w->in_touch = in_touch;
+void pwwatch_tick(pw_watch *w, int has_contact, int leads, int64_t now) {
+  w->has_contact = has_contact;
   w->leads = leads;
   pwzones_read(&w->evacuated, w->resources);
   pwrollwire_read(&w->rollouts, w->resources);
--- a/packages/control/pwwatch.h
+++ b/packages/control/pwwatch.h
@@ -28,8 +28,8 @@
                      int64_t now);
 
 /* Takes a heartbeat that was received here. If the target leaves or has
-** gone, the heartbeat may be acknowledged once pwwatch_replicated_seq reaches the
-** number that is returned; 0: at once. */
+** gone, the heartbeat may be acknowledged once pwwatch_replicated_seq reaches
+** the number that is returned; 0: at once. */
 uint64_t pwwatch_beat(pw_watch *w, const pw_heartbeat *b, int gone,
                       int64_t now);
 
@@ -67,8 +67,8 @@
 ** count as silence of targets or gateways. */
 void pwwatch_discount_stall(pw_watch *w, int64_t ms);
 
-/* Sends the Notices that are due. `in_touch`: there is contact with a
-** leader; `leads`: this instance is the leader. */
-void pwwatch_tick(pw_watch *w, int in_touch, int leads, int64_t now);
+/* Sends the Notices that are due. `has_contact`: there is contact with
+** a leader; `leads`: this instance is the leader. */
+void pwwatch_tick(pw_watch *w, int has_contact, int leads, int64_t now);
 
 #endif
--- a/packages/control/pwzones.c
+++ b/packages/control/pwzones.c
@@ -15,7 +15,7 @@
   *z = (pw_zones){0};
 }
 
-int pwzones_holds(const pw_zones *z, const char *name) {
+int pwzones_has(const pw_zones *z, const char *name) {
   for (size_t i = 0; i < z->n; i++)
     if (!strcmp(z->name[i], name))
       return 1;
@@ -35,7 +35,7 @@
 static void log_added(const pw_zones *now, const pw_zones *before,
                       const char *event) {
   for (size_t i = 0; i < now->n; i++)
-    if (!pwzones_holds(before, now->name[i]))
+    if (!pwzones_has(before, now->name[i]))
       pwlog(LOG_NOTICE, event, "availability_zone=%s revision=%llu",
             now->name[i], (unsigned long long)now->revision);
 }
--- a/packages/control/pwzones.h
+++ b/packages/control/pwzones.h
@@ -18,7 +18,7 @@
 ** evacuation that began or ended. */
 void pwzones_read(pw_zones *z, const pw_res *resources);
 
-int pwzones_holds(const pw_zones *z, const char *name);
+int pwzones_has(const pw_zones *z, const char *name);
 
 void pwzones_free(pw_zones *z);
 
