--- a/packages/daemon/peatwelld.c
+++ b/packages/daemon/peatwelld.c
@@ -1,5 +1,5 @@
-/* peatwelld.c: main program of the daemon: reads the settings, runs a thread for
-** each role, and handles signals. */
+/* peatwelld.c: main program of the daemon: reads the settings, runs a thread
+** for each role, and handles signals. */
 #define _GNU_SOURCE
 #include "platform.h"
 #include "pwagent.h"
@@ -57,10 +57,10 @@
   return NULL;
 }
 
-/* Waits until all roles have ended. The first SIGTERM or SIGINT stops the roles,
-** which finish requests in flight; the second one stops them without waiting.
-** SIGHUP reloads the certificates. run_role sends SIGUSR1 when a role has
-** ended, and then the other roles are stopped too. */
+/* Waits until all roles have ended. The first SIGTERM or SIGINT stops the
+** roles, which finish requests in flight; the second one stops them without
+** waiting. SIGHUP reloads the certificates. run_role sends SIGUSR1 when a
+** role has ended, and then the other roles are stopped too. */
 static void wait_for_roles(role *roles, int n, const sigset_t *signals) {
   int level = 0;
   for (;;) {
--- a/packages/daemon/pwassign.h
+++ b/packages/daemon/pwassign.h
@@ -1,9 +1,9 @@
 /* pwassign.h: resources that the control leader writes, as typed values.
 **
-** An `assignment` names, for a target, the version of each model that it must
-** load and the one that it serves. A `rollout` names the two versions that share
-** a model's chats. A target whose assignment does not name a model serves the
-** model as installed, without a version. */
+** An `assignment` names, for a target, the version of each model that it
+** must load and the one that it serves. A `rollout` names the two versions
+** that share a model's chats. A target whose assignment does not name a
+** model serves the model as installed, without a version. */
 #ifndef PWASSIGN_H
 #define PWASSIGN_H
 
@@ -16,7 +16,7 @@
 #define PWASSIGN_ADAPTERS 16                  /* adapters of a model, at most */
 #define PWASSIGN_POOL_BYTES (2 * PW_NAME_MAX) /* bytes of a pool's name */
 
-/* What an assignment says about one model. */
+/* The entry of an assignment for one model. */
 typedef struct pw_assigned {
   char model[PW_NAME_MAX];
   int has_load; /* 0: the target must not have the model loaded */
@@ -30,8 +30,9 @@
 
 typedef struct pw_assignment {
   uint64_t term; /* of the leader that wrote the assignment */
-  uint64_t
-      sequence; /* its revision; with the term the fencing token of orders */
+  /* revision of the assignment; with the term it is the fencing token of
+  ** orders */
+  uint64_t sequence;
   uint64_t version; /* of the resource; 0: there is no assignment */
   char role[PW_NAME_MAX];
   pw_assigned model[PWASSIGN_MODELS];
@@ -41,11 +42,11 @@
 /* Reads a target's assignment. It is empty when there is none. */
 void pwassign_read(const pw_res *r, const char *target, pw_assignment *out);
 
-/* Finds what an assignment says about a model, or NULL. */
+/* Finds the entry of an assignment for a model; NULL when there is none. */
 pw_assigned *pwassign_model(pw_assignment *a, const char *model);
 
-/* Finds what an assignment says about a model and adds an empty entry if there is
-** none. NULL when there are PWASSIGN_MODELS already. */
+/* Finds the entry of an assignment for a model, and adds an empty one if there
+** is none. NULL when there are PWASSIGN_MODELS already. */
 pw_assigned *pwassign_add(pw_assignment *a, const char *model);
 
 /* Returns the spec of an assignment as a new reference. */
--- a/packages/daemon/pwfeed.c
+++ b/packages/daemon/pwfeed.c
@@ -177,8 +177,8 @@
   pw_child **at = &f->children;
   while (*at) {
     pw_child *c = *at;
-    int done = c->stopping && now - c->last_hello_at > PW_PARENT_LOST;
-    if (now - c->last_hello_at <= PW_CHILD_KEEP && !done) {
+    int has_stopped = c->stopping && now - c->last_hello_at > PW_PARENT_LOST;
+    if (now - c->last_hello_at <= PW_CHILD_KEEP && !has_stopped) {
       at = &c->next;
       continue;
     }
@@ -216,7 +216,7 @@
     out->entries += c->entries;
     if (c->below_revision >= out->revision ||
         !lacks_changes(f, c, c->below_revision))
-      continue; /* no change that it lacks concerns it */
+      continue; /* none of the changes that it lacks concerns it */
     out->revision = c->below_revision;
     pw_copy(out->behind, sizeof out->behind,
             c->behind[0] ? c->behind : c->name);
--- a/packages/daemon/pwfeed.h
+++ b/packages/daemon/pwfeed.h
@@ -1,9 +1,9 @@
 /* pwfeed.h: the parent's side of the distribution tree.
 **
-** Control instances are parents of entries, and an entry is the parent of its
-** agents. A child sends a Hello with its revision of the resources. The parent
-** answers with a Welcome that has the changes since, and also sends a Welcome on
-** its own when resources change. */
+** Control instances are parents of entries, and an entry is the parent of
+** its agents. A child sends a Hello with its revision of the resources. The
+** parent answers with a Welcome that has the changes since, and also sends a
+** Welcome on its own when resources change. */
 #ifndef PWFEED_H
 #define PWFEED_H
 
@@ -32,11 +32,11 @@
   struct pw_child *next;
 } pw_child;
 
-/* What a Welcome tells every child about the control group. */
+/* The state of the control group, which each Welcome contains. */
 typedef struct pw_feed_state {
-  int leader;        /* the parent is the leader and holds the lease */
-  int64_t touch_age; /* ms since the last certain contact with a leader; <0:
-                     ** there was none */
+  int leader; /* the parent is the leader and holds the lease */
+  /* ms since the last certain contact with a leader; <0: there was none */
+  int64_t touch_age;
   const char *leader_wire;
   const char *leader_http;
   uint64_t term;
@@ -51,7 +51,8 @@
 pw_feed *pwfeed_new(pw_proc *p, pw_sock *sock, const pw_res *res);
 void pwfeed_free(pw_feed *f);
 
-/* Handles a child's Hello and answers it with a Welcome. `pools` may be NULL. */
+/* Handles a child's Hello and answers it with a Welcome. `pools` may be
+** NULL. */
 void pwfeed_hello(pw_feed *f, const pw_peer *from, const Pw__Envelope *e,
                   const pw_feed_state *st, Pw__PoolLoad **pools, size_t npools,
                   int64_t now);
@@ -63,8 +64,8 @@
 ** time does not count as the children's silence. */
 void pwfeed_discount_stall(pw_feed *f, int64_t ms);
 
-/* Drops children that have been silent for PW_CHILD_KEEP, and stopping ones after
-** PW_PARENT_LOST. Calls `left` for each before it is freed. */
+/* Drops children that have been silent for PW_CHILD_KEEP, and stopping ones
+** after PW_PARENT_LOST. Calls `left` for each before it is freed. */
 void pwfeed_expire(pw_feed *f, void (*left)(void *arg, const pw_child *c),
                    void *arg, int64_t now);
 
--- a/packages/daemon/pwproc.c
+++ b/packages/daemon/pwproc.c
@@ -1,4 +1,4 @@
-/* pwproc.c: state and HTTP answers that all roles of a process have in common. */
+/* pwproc.c: state and HTTP answers common to all roles of a process. */
 #include "pwproc.h"
 
 #include "pwlog.h"
--- a/packages/daemon/pwproc.h
+++ b/packages/daemon/pwproc.h
@@ -1,4 +1,4 @@
-/* pwproc.h: state and HTTP answers that all roles of a process have in common. */
+/* pwproc.h: state and HTTP answers common to all roles of a process. */
 #ifndef PWPROC_H
 #define PWPROC_H
 
@@ -40,8 +40,9 @@
 ** reason in err. */
 int pwproc_serve_metrics(pw_proc *p, pw_server **out, pw_buf *err);
 
-/* Answers with a code's HTTP status and JSON error body. `outcome` is "not-run",
-** "unknown" or "done". A `retry_ms` other than 0 sets Retry-After. */
+/* Answers with a code's HTTP status and JSON error body. `outcome` is
+** "not-run", "unknown" or "done". A `retry_ms` other than 0 sets
+** Retry-After. */
 void pwproc_refuse(pw_http *h, pw_code code, const char *message,
                    const char *outcome, uint32_t retry_ms);
 
--- a/packages/daemon/pwsub.c
+++ b/packages/daemon/pwsub.c
@@ -24,19 +24,19 @@
   int n;
   int at; /* index of the current parent */
   int follow_leader;
-  int64_t stale; /* ms without contact after which this process is cut off */
+  int64_t stale_ms; /* ms without contact after which this process is cut off */
   int serve_cut_off;
 
   int64_t hello_at;     /* when the last Hello was sent */
   int64_t interval;     /* of Hellos, ms */
-  int64_t welcomed;     /* when the parent last answered */
+  int64_t welcomed_at;  /* when the parent last answered */
   int64_t since;        /* when this parent was chosen */
-  int64_t as_of;        /* see pwsub_as_of */
-  int64_t confirmed_at; /* see pwsub_confirmed_at */
+  int64_t as_of;        /* time of the newest Hello that was answered */
+  int64_t confirmed_at; /* the same for the current parent and leader */
   int64_t same_since;   /* when parent or leader last changed */
   uint64_t parent_incarnation;
   int64_t contact_at; /* time of the last certain contact with a leader */
-  int has_contact;    /* that time is not longer ago than `stale` */
+  int has_contact;    /* that time is not longer ago than `stale_ms` */
   int caught_up;      /* has had the complete configuration once */
   uint64_t term;
   uint64_t group; /* id of the first control group; others are ignored */
@@ -61,7 +61,7 @@
   s->sock = sock;
   s->res = pwres_new();
   s->follow_leader = follow_leader;
-  s->stale = stale_ms;
+  s->stale_ms = stale_ms;
   s->serve_cut_off = !strcmp(cut_off, "serve");
   s->contact_at = INT64_MIN / 2;
   s->confirmed_at = INT64_MIN / 2;
@@ -93,7 +93,7 @@
   }
   s->at = at;
   s->since = now;
-  s->welcomed = now;
+  s->welcomed_at = now;
   s->hello_at = INT64_MIN / 2;
 }
 
@@ -131,7 +131,7 @@
 }
 
 void pwsub_hello(pw_sub *s, Pw__Hello *h, int64_t now) {
-  int64_t answered_at = s->welcomed > s->since ? s->welcomed : s->since;
+  int64_t answered_at = s->welcomed_at > s->since ? s->welcomed_at : s->since;
   if (now - answered_at > PW_PARENT_LOST + s->interval)
     move_to(s, (s->at + 1) % s->n, now);
   parent *to = &s->parents[s->at];
@@ -163,7 +163,7 @@
   int64_t at = w->echo - (int64_t)w->touch_age;
   if (at > s->contact_at)
     s->contact_at = at;
-  if (!s->has_contact && now - s->contact_at <= s->stale) {
+  if (!s->has_contact && now - s->contact_at <= s->stale_ms) {
     s->has_contact = 1;
     pwevent_add(s->p->events, PWE_IN_TOUCH, 0, NULL, NULL, NULL,
                 "parent=%s revision=%llu", s->parents[s->at].addr,
@@ -212,7 +212,7 @@
     return 0;
   note_confirmed(s, e, now);
   s->term = w->term;
-  s->welcomed = now;
+  s->welcomed_at = now;
   s->entries = w->entries;
   if (w->hello_ms)
     s->interval = w->hello_ms;
@@ -243,7 +243,7 @@
 }
 
 int pwsub_may_serve(pw_sub *s, int64_t now) {
-  if (s->has_contact && now - s->contact_at > s->stale) {
+  if (s->has_contact && now - s->contact_at > s->stale_ms) {
     s->has_contact = 0;
     pwevent_add(s->p->events, PWE_CUT_OFF, 0, NULL, NULL, NULL,
                 "no leader for %lld ms", (long long)(now - s->contact_at));
--- a/packages/daemon/pwtable.c
+++ b/packages/daemon/pwtable.c
@@ -1,4 +1,4 @@
-/* pwtable.c: target updates of control instances: heartbeats and tables of them. */
+/* pwtable.c: target updates of control instances: heartbeats and tables. */
 #include "pwtable.h"
 
 #include "pwbuf.h"
@@ -8,8 +8,8 @@
 #include <zstd.h>
 
 #define LEVEL 3                      /* zstd compression level */
-#define AGE_STEP_MS 50               /* ages in tables are rounded down to it */
-#define TABLE_FROM 16                /* up to so many are not compressed */
+#define AGE_STEP_MS 50               /* tables have ages rounded down to this */
+#define PLAIN_MAX 16                 /* heartbeats sent one by one, at most */
 #define TABLE_MAX (16 * 1024 * 1024) /* bytes of an unpacked table */
 
 void pwtable_pack(Pw__Beat *out, const pw_heartbeat *b, int gone, int silent,
@@ -107,7 +107,8 @@
   t->age[i] = b->age - b->age % AGE_STEP_MS;
 }
 
-/* Whether all columns have one item for each row. The column `born` may be empty. */
+/* Whether all columns have one item for each row. The column `born` may be
+** empty. */
 static int has_equal_columns(const Pw__Table *t) {
   const size_t n[] = {
       t->n_service, t->n_address, t->n_version, t->n_availability_zone,
@@ -150,7 +151,7 @@
 }
 
 void pwtable_put(Pw__Beat **beats, size_t n, Pw__Notice *out) {
-  if (n <= TABLE_FROM) {
+  if (n <= PLAIN_MAX) {
     out->beats = beats;
     out->n_beats = n;
     return;
--- a/packages/daemon/pwtable.h
+++ b/packages/daemon/pwtable.h
@@ -1,5 +1,5 @@
-/* pwtable.h: target updates of control instances: single heartbeats, and compressed
-** tables of many. */
+/* pwtable.h: target updates of control instances: single heartbeats, and
+** compressed tables of many. */
 #ifndef PWTABLE_H
 #define PWTABLE_H
 
@@ -13,8 +13,8 @@
                   int64_t age);
 void pwtable_unpack(const Pw__Beat *in, pw_heartbeat *out);
 
-/* Packs a heartbeat that only renews the target's last one: the message has no
-** more than id, number, start and age. */
+/* Packs a heartbeat that only renews the target's last one: the message has
+** only id, sequence number, start time and age. */
 void pwtable_pack_renewal(Pw__Beat *out, const pw_heartbeat *b, int64_t age);
 
 /* Whether a message is a renewal. */
--- a/packages/daemon/pwtreereport.c
+++ b/packages/daemon/pwtreereport.c
@@ -1,5 +1,5 @@
-/* pwtreereport.c: the report of a process to its parent in the distribution tree: states
-** of targets, and counts of attempts for each version. */
+/* pwtreereport.c: the report of a process to its parent in the distribution
+** tree: states of targets, and counts of attempts for each version. */
 #include "pwtreereport.h"
 
 #include "pwbuf.h"
@@ -50,30 +50,30 @@
   return pw_alloc(sizeof(pw_treereport));
 }
 
-static void drop_state(pw_treereport *n, state_row *r) {
-  HASH_DEL(n->states, r);
+static void drop_state(pw_treereport *t, state_row *r) {
+  HASH_DEL(t->states, r);
   pw__target_state__free_unpacked(r->state, NULL);
   free(r);
 }
 
-void pwtreereport_free(pw_treereport *n) {
-  if (!n)
+void pwtreereport_free(pw_treereport *t) {
+  if (!t)
     return;
   state_row *s, *stmp;
-  HASH_ITER(hh, n->states, s, stmp) {
-    drop_state(n, s);
+  HASH_ITER(hh, t->states, s, stmp) {
+    drop_state(t, s);
   }
   count_row *c, *ctmp;
-  HASH_ITER(hh, n->counts, c, ctmp) {
-    HASH_DEL(n->counts, c);
+  HASH_ITER(hh, t->counts, c, ctmp) {
+    HASH_DEL(t->counts, c);
     free(c);
   }
   base_row *b, *btmp;
-  HASH_ITER(hh, n->bases, b, btmp) {
-    HASH_DEL(n->bases, b);
+  HASH_ITER(hh, t->bases, b, btmp) {
+    HASH_DEL(t->bases, b);
     free(b);
   }
-  free(n);
+  free(t);
 }
 
 /* --- targets --- */
@@ -94,25 +94,26 @@
 }
 
 /* Whether a state of time `at` is older than the known one. Only states from
-** different children are compared by age; those from one child arrive in order.
-** An age omits the time for which a Hello waited here to be read: compared by age,
-** the second of two Hellos that waited while a control instance stalled for 0.4 s
-** would look older by 3 ms and be dropped, although its state is sent only once. */
+** different children are compared by age; those from one child arrive in
+** order. An age omits the time for which a Hello waited here to be read:
+** compared by age, the second of two Hellos that waited while a control
+** instance stalled for 0.4 s would look older by 3 ms and be dropped,
+** although its state is sent only once. */
 static int is_older(const state_row *r, const char *from, int64_t at) {
   return strcmp(r->from, from) != 0 && at < r->at;
 }
 
 /* Stores a state unless a newer one is known. */
-static void store_state(pw_treereport *n, const Pw__TargetState *s,
+static void store_state(pw_treereport *t, const Pw__TargetState *s,
                         const char *from, int64_t at, int64_t now) {
   state_row *r;
-  HASH_FIND_STR(n->states, s->target, r);
+  HASH_FIND_STR(t->states, s->target, r);
   if (r && is_older(r, from, at))
     return;
   if (!r) {
     r = pw_alloc(sizeof *r);
     pw_copy(r->target, sizeof r->target, s->target);
-    HASH_ADD_STR(n->states, target, r);
+    HASH_ADD_STR(t->states, target, r);
   }
   pw_copy(r->from, sizeof r->from, from);
   r->at = at;
@@ -122,122 +123,123 @@
     pw__target_state__free_unpacked(r->state, NULL);
   r->state = PWPB_COPY(s);
   r->changed = now;
-  n->changes++;
+  t->changes++;
 }
 
-void pwtreereport_child_left(pw_treereport *n, const pw_child *c, int64_t now) {
+void pwtreereport_child_left(pw_treereport *t, const pw_child *c, int64_t now) {
   if (!c->target[0])
     return;
   Pw__TargetState gone = PW__TARGET_STATE__INIT;
   gone.target = (char *)c->target;
   gone.gone = 1;
-  store_state(n, &gone, "", c->last_hello_at, now);
+  store_state(t, &gone, "", c->last_hello_at, now);
 }
 
-const Pw__TargetState *pwtreereport_target(const pw_treereport *n,
+const Pw__TargetState *pwtreereport_target(const pw_treereport *t,
                                            const char *target) {
   const state_row *r;
-  HASH_FIND_STR(n->states, target, r);
+  HASH_FIND_STR(t->states, target, r);
   return r ? r->state : NULL;
 }
 
-uint64_t pwtreereport_changes(const pw_treereport *n) {
-  return n->changes;
+uint64_t pwtreereport_changes(const pw_treereport *t) {
+  return t->changes;
 }
 
 /* --- counts of attempts --- */
 
-static count_row *count_of(pw_treereport *n, const char *pool) {
+static count_row *count_of(pw_treereport *t, const char *pool) {
   count_row *c;
-  HASH_FIND_STR(n->counts, pool, c);
+  HASH_FIND_STR(t->counts, pool, c);
   if (c)
     return c;
-  if (HASH_COUNT(n->counts) >= POOLS_MAX) {
-    c = n->counts;
-    HASH_DEL(n->counts, c);
+  if (HASH_COUNT(t->counts) >= POOLS_MAX) {
+    c = t->counts;
+    HASH_DEL(t->counts, c);
     free(c);
   }
   c = pw_alloc(sizeof *c);
   pw_copy(c->pool, sizeof c->pool, pool);
-  HASH_ADD_STR(n->counts, pool, c);
+  HASH_ADD_STR(t->counts, pool, c);
   return c;
 }
 
-static void add_attempts(pw_treereport *n, const char *pool, uint64_t done,
+static void add_attempts(pw_treereport *t, const char *pool, uint64_t done,
                          uint64_t failed, int64_t now) {
   if (!done && !failed)
     return;
-  count_row *c = count_of(n, pool);
+  count_row *c = count_of(t, pool);
   c->done += done;
   c->failed += failed;
   c->changed = now;
 }
 
-void pwtreereport_count(pw_treereport *n, const char *pool, int failed) {
-  add_attempts(n, pool, !failed, !!failed, pwclock_ms());
+void pwtreereport_count(pw_treereport *t, const char *pool, int failed) {
+  add_attempts(t, pool, !failed, !!failed, pwclock_ms());
 }
 
-static base_row *base_of(pw_treereport *n, const char *child,
+static base_row *base_of(pw_treereport *t, const char *child,
                          const char *pool) {
   char key[sizeof((base_row *)0)->key];
   base_row *b;
   snprintf(key, sizeof key, "%s %s", child, pool);
-  HASH_FIND_STR(n->bases, key, b);
+  HASH_FIND_STR(t->bases, key, b);
   if (b)
     return b;
-  if (HASH_COUNT(n->bases) >= BASES_MAX) {
-    b = n->bases;
-    HASH_DEL(n->bases, b);
+  if (HASH_COUNT(t->bases) >= BASES_MAX) {
+    b = t->bases;
+    HASH_DEL(t->bases, b);
     free(b);
   }
   b = pw_alloc(sizeof *b);
   pw_copy(b->key, sizeof b->key, key);
-  HASH_ADD_STR(n->bases, key, b);
+  HASH_ADD_STR(t->bases, key, b);
   return b;
 }
 
 /* Whether this incarnation of the child has sent a Hello before. */
-static int is_known_child(pw_treereport *n, const Pw__Envelope *e) {
-  base_row *b = base_of(n, e->from, "");
+static int is_known_child(pw_treereport *t, const Pw__Envelope *e) {
+  base_row *b = base_of(t, e->from, "");
   int known = b->incarnation == e->incarnation;
   b->incarnation = e->incarnation;
   return known;
 }
 
-/* Adds what a child's count has risen since its last Hello. The first Hello of an
-** incarnation only sets the base: earlier attempts are not counted again. */
-static void add_count(pw_treereport *n, const Pw__Envelope *e,
+/* Adds what a child's count has risen since its last Hello. The first Hello
+** of an incarnation only sets the base: earlier attempts are not counted
+** again. */
+static void add_count(pw_treereport *t, const Pw__Envelope *e,
                       const Pw__VersionCount *v, int known, int64_t now) {
-  base_row *b = base_of(n, e->from, v->pool);
+  base_row *b = base_of(t, e->from, v->pool);
   if (known && v->done >= b->done && v->failed >= b->failed)
-    add_attempts(n, v->pool, v->done - b->done, v->failed - b->failed, now);
+    add_attempts(t, v->pool, v->done - b->done, v->failed - b->failed, now);
   b->done = v->done;
   b->failed = v->failed;
 }
 
-void pwtreereport_sum(const pw_treereport *n, const char *pool, double *done,
+void pwtreereport_sum(const pw_treereport *t, const char *pool, double *done,
                       double *failed) {
   const count_row *c;
-  HASH_FIND_STR(n->counts, pool, c);
+  HASH_FIND_STR(t->counts, pool, c);
   *done = c ? (double)c->done : 0;
   *failed = c ? (double)c->failed : 0;
 }
 
 /* --- Hellos --- */
 
-void pwtreereport_hello(pw_treereport *n, const Pw__Envelope *e, int64_t now) {
+void pwtreereport_hello(pw_treereport *t, const Pw__Envelope *e, int64_t now) {
   const Pw__Hello *h = e->hello;
   for (size_t i = 0; i < h->n_states; i++)
-    store_state(n, h->states[i], e->from, now - h->states[i]->age, now);
-  int known = is_known_child(n, e);
+    store_state(t, h->states[i], e->from, now - h->states[i]->age, now);
+  int known = is_known_child(t, e);
   for (size_t i = 0; i < h->n_counts; i++)
-    add_count(n, e, h->counts[i], known, now);
+    add_count(t, e, h->counts[i], known, now);
 }
 
-static void fill_states(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at,
+static void fill_states(pw_treereport *t, Pw__Hello *h, int64_t confirmed_at,
                         int64_t now) {
   h->states = pw_alloc(sizeof *h->states * STATES_PER_HELLO);
-  for (state_row *r = n->states; r; r = r->hh.next) {
+  for (state_row *r = t->states; r; r = r->hh.next) {
     if (r->changed < confirmed_at)
       continue;
     if (h->n_states == STATES_PER_HELLO) {
@@ -249,9 +251,9 @@
   }
 }
 
-static void fill_counts(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at) {
+static void fill_counts(pw_treereport *t, Pw__Hello *h, int64_t confirmed_at) {
   h->counts = pw_alloc(sizeof *h->counts * POOLS_MAX);
-  for (count_row *c = n->counts; c; c = c->hh.next) {
+  for (count_row *c = t->counts; c; c = c->hh.next) {
     if (c->changed < confirmed_at)
       continue;
     Pw__VersionCount *v = pw_alloc(sizeof *v);
@@ -263,10 +265,10 @@
   }
 }
 
-void pwtreereport_fill(pw_treereport *n, Pw__Hello *h, int64_t confirmed_at,
+void pwtreereport_fill(pw_treereport *t, Pw__Hello *h, int64_t confirmed_at,
                        int64_t now) {
-  fill_states(n, h, confirmed_at, now);
-  fill_counts(n, h, confirmed_at);
+  fill_states(t, h, confirmed_at, now);
+  fill_counts(t, h, confirmed_at);
 }
 
 void pwtreereport_clear(Pw__Hello *h) {
--- a/packages/daemon/pwview.c
+++ b/packages/daemon/pwview.c
@@ -158,8 +158,8 @@
   free(v);
 }
 
-/* The lookup goes by the key's hash, so its timing reveals nothing about the keys.
-** The hashes are also compared in constant time. */
+/* The lookup goes by the key's hash, so its timing reveals nothing about the
+** keys. The hashes are also compared in constant time. */
 const pw_workspace *pwview_workspace(const pw_view *v, const char *key) {
   char hash[2 * PWVIEW_HASH_BYTES + 1];
   key_row *row;
--- a/packages/store/pwdedup.h
+++ b/packages/store/pwdedup.h
@@ -36,8 +36,8 @@
 ** than `before` (wall clock, seconds). */
 void pwdedup_expire(pw_dedup *d, uint32_t before);
 
-/* Returns all entries, oldest first, PWDEDUP_ENTRY_BYTES each. The caller frees the
-** bytes. */
+/* Returns all entries, oldest first, PWDEDUP_ENTRY_BYTES each. The caller
+** frees the bytes. */
 uint8_t *pwdedup_pack(const pw_dedup *d, size_t *len);
 
 /* Replaces all entries by packed ones. Returns 0, or -1 when `len` is not a
--- a/packages/store/pwdoc.c
+++ b/packages/store/pwdoc.c
@@ -1,4 +1,5 @@
-/* pwdoc.c: a versioned document and its deltas (zstd with the base as prefix). */
+/* pwdoc.c: a versioned document and its deltas (zstd with the base as
+** prefix). */
 #include "pwdoc.h"
 
 #include "pwbuf.h"
@@ -7,8 +8,8 @@
 #include <string.h>
 #include <zstd.h>
 
-#define VERSIONS 4                    /* retained, the newest included */
-#define OLD_BYTES (4UL * 1024 * 1024) /* retained of older versions, at most */
+#define VERSIONS 4                    /* versions retained, with the newest */
+#define OLD_BYTES (4UL * 1024 * 1024) /* bytes of older versions, at most */
 #define LEVEL 3                       /* zstd compression level */
 #define WINDOW_MIN 10 /* smallest and largest zstd window, as log2 of bytes */
 #define WINDOW_MAX 25
@@ -19,9 +20,9 @@
   size_t n;
 } doc_version;
 
-/* Cache of the newest version in packed form, one for each base that was requested.
-** Packing takes some milliseconds, and a hundred receivers with the same base
-** request it at the same moment. */
+/* Cache of the newest version in packed form, one for each base that was
+** requested. Packing takes some milliseconds, and a hundred receivers with
+** the same base request it at the same moment. */
 typedef struct pack_cache {
   Pw__Document d[VERSIONS];
   int used[VERSIONS];
--- a/packages/store/pwdoc.h
+++ b/packages/store/pwdoc.h
@@ -1,8 +1,9 @@
-/* pwdoc.h: a versioned document that is sent as a delta against an older version.
+/* pwdoc.h: a versioned document that is sent as a delta against an older
+** version.
 **
-** The newest version replaces the others; a few older versions are retained as
-** bases of deltas. The configuration of gateways is such a document: control
-** instances replicate it, and gateways receive it from them. */
+** The newest version replaces the others; a few older versions are retained
+** as bases of deltas. The configuration of gateways is such a document:
+** control instances replicate it, and gateways receive it from them. */
 #ifndef PWDOC_H
 #define PWDOC_H
 
--- a/packages/store/pwfile.h
+++ b/packages/store/pwfile.h
@@ -1,4 +1,5 @@
-/* pwfile.h: file calls of the store, replaceable so that tests can make them fail. */
+/* pwfile.h: file calls of the store, replaceable so that tests can make them
+** fail. */
 #ifndef PWFILE_H
 #define PWFILE_H
 
@@ -28,12 +29,14 @@
 /* Reads a whole file into memory that the caller frees. NULL on failure. */
 uint8_t *pwfile_read(const char *path, size_t *n);
 
-/* Callback that writes a file's content to fd. Returns 0, or -1 with errno set. */
+/* Callback that writes a file's content to fd. Returns 0, or -1 with errno
+** set. */
 typedef int (*pw_file_fill)(void *arg, const pw_file_ops *ops, int fd);
 
-/* Atomically replaces the file at `path` by what `fill` writes: writes a temporary
-** file, syncs it, renames it and syncs the folder. Returns 0, or -1 with the
-** old file in place; when only the folder's sync failed, with the new one. */
+/* Atomically replaces the file at `path` by what `fill` writes: writes a
+** temporary file, syncs it, renames it and syncs the folder. Returns 0, or
+** -1 with the old file in place; when only the folder's sync failed, with
+** the new one. */
 int pwfile_replace_with(const pw_file_ops *ops, const char *dir,
                         const char *path, pw_file_fill fill, void *arg);
 
--- a/packages/store/pwonce.c
+++ b/packages/store/pwonce.c
@@ -35,7 +35,7 @@
   claim *open, *answered, *given_back;
   size_t answer_bytes;
   pw_dedup *past;
-  uint64_t refuse_until; /* no unknown keys until then: wall clock, ms */
+  uint64_t refuse_until; /* for unknown keys: wall clock, ms */
 };
 
 pw_once *pwonce_new(void) {
@@ -84,8 +84,8 @@
   free(o);
 }
 
-/* Hashes workspace and key, each with its terminating zero, so that no two pairs
-** give the same bytes. */
+/* Hashes workspace and key, each with its terminating zero, so that no two
+** pairs give the same bytes. */
 static void hash_id(const char *workspace, const char *key,
                     uint8_t id[PWDEDUP_KEY_BYTES]) {
   crypto_generichash_state st;
@@ -214,9 +214,10 @@
   return out;
 }
 
-/* Remembers a claim that was given back. A late copy of the claim, over another
-** link or through another leader, would otherwise be granted and leave the key
-** claimed for good, although its caller was told that the request has not run. */
+/* Remembers a claim that was given back. A late copy of the claim, over
+** another link or through another leader, would otherwise be granted and
+** leave the key claimed for good, although its caller was told that the
+** request has not run. */
 static void give_back(pw_once *o, const Pw__Record *in) {
   Pw__KeptClaim *k = pw_alloc(sizeof *k);
   pw__kept_claim__init(k);
--- a/packages/store/pwonce.h
+++ b/packages/store/pwonce.h
@@ -1,10 +1,11 @@
-/* pwonce.h: the once-ledger: keys of requests that may run once, and their answers.
+/* pwonce.h: the once-ledger: keys of requests that may run once, and their
+** answers.
 **
-** A claim of a key has three stages. It is open until its answer is recorded or
-** the claim is given back; answered while there is room for the answer; and
-** past, when only a hash of its key is left (pwdedup), until the retention time
-** of keys has elapsed. A claim younger than that is never removed: a full
-** ledger refuses new claims instead. */
+** A claim of a key has three stages. It is open until its answer is recorded
+** or the claim is given back; answered while there is room for the answer;
+** and past, when only a hash of its key is left (pwdedup), until the
+** retention time of keys has elapsed. A claim younger than that is never
+** removed: a full ledger refuses new claims instead. */
 #ifndef PWONCE_H
 #define PWONCE_H
 
@@ -29,7 +30,8 @@
 **   PW_E_RUNNING        another owner has the key, and no answer is recorded
 **   PW_E_REUSED         the key was claimed with another body
 **   PW_E_LEDGER_FULL    not claimed: the ledger is full
-**   PW_E_LEDGER_LOST    not claimed: unknown keys are refused (pwonce_refuse_until)
+**   PW_E_LEDGER_LOST    not claimed: unknown keys are refused until a set
+**                       time (pwonce_refuse_until)
 ** A claim sent again with the same id is granted again until its answer is
 ** recorded. After the claim was given back, its own id gets PW_E_RUNNING, and
 ** any other id may claim the key. */
--- a/packages/store/pwres.h
+++ b/packages/store/pwres.h
@@ -34,8 +34,8 @@
   X("rollout")                                                                 \
   X("assignment")
 
-/* One resource, or the tombstone of a deleted one. `spec` is JSON text; that of a
-** tombstone is "". */
+/* One resource, or the tombstone of a deleted one. `spec` is JSON text; that
+** of a tombstone is "". */
 typedef struct pw_resource {
   char *id; /* "KIND/NAME" */
   char *kind;
@@ -83,10 +83,11 @@
 /* Raises the revision without a change of resources. */
 void pwres_advance(pw_res *r, uint64_t revision);
 
-/* Merges a delta from `since` to `revision`, or, when `full`, the complete set.
-** Returns 1 when merged; 0 when it is not newer and was ignored, since revisions
-** never go back; -1 when the delta starts after the newest revision here, so
-** that changes in between are missing and must be requested. */
+/* Merges a delta from `since` to `revision`, or, when `full`, the complete
+** set. Returns 1 when merged; 0 when it is not newer and was ignored, since
+** revisions never go back; -1 when the delta starts after the newest
+** revision here, so that changes in between are missing and must be
+** requested. */
 int pwres_merge(pw_res *r, int full, uint64_t since, uint64_t revision,
                 Pw__Resource **list, size_t n);
 
--- a/packages/store/pwschema.c
+++ b/packages/store/pwschema.c
@@ -1,4 +1,5 @@
-/* pwschema.c: checks of resources against one table of the fields of each kind. */
+/* pwschema.c: checks of resources against one table of the fields of each
+** kind. */
 #include "pwschema.h"
 
 #include "pwlimits.h"
--- a/packages/store/pwstate.c
+++ b/packages/store/pwstate.c
@@ -243,7 +243,7 @@
   return o;
 }
 
-/* Returns a policy's field, a time in seconds, in milliseconds. */
+/* Returns a time that a policy sets in seconds, converted to ms. */
 static uint64_t policy_ms(const pw_state *s, const char *policy,
                           const char *field, uint64_t otherwise) {
   const pw_resource *one = pwres_get(s->res, "policy", policy);
@@ -253,8 +253,9 @@
   return (uint64_t)(ms * MS_PER_S);
 }
 
-/* Retention time of claims. Also sets until when unknown keys are refused. Reads
-** the policies only when the resources have changed since the last call. */
+/* Retention time of claims. Also sets until when unknown keys are refused.
+** Reads the policies only when the resources have changed since the last
+** call. */
 static uint64_t claim_keep_ms(pw_state *s) {
   if (s->keep_revision == pwres_revision(s->res))
     return s->keep_ms;
--- a/packages/store/pwstate.h
+++ b/packages/store/pwstate.h
@@ -1,9 +1,9 @@
-/* pwstate.h: the replicated state: resources, outcomes of changes, once-ledger and
-** the configuration document of gateways.
+/* pwstate.h: the replicated state: resources, outcomes of changes,
+** once-ledger and the configuration document of gateways.
 **
-** Every control instance applies the commands of the consensus log in the same
-** order and must reach the same state, so nothing here reads a clock or uses
-** random numbers. */
+** Every control instance applies the commands of the consensus log in the
+** same order and must reach the same state, so nothing here reads a clock or
+** uses random numbers. */
 #ifndef PWSTATE_H
 #define PWSTATE_H
 
@@ -13,9 +13,9 @@
 #include "pwonce.h"
 #include "pwres.h"
 
-/* Name of the policy whose once_from_s makes the once-ledger refuse unknown keys
-** until that time. A restore writes it to a group other than the one that was
-** backed up, because the ledger is not part of the backup. */
+/* Name of the policy whose once_from_s makes the once-ledger refuse unknown
+** keys until that time. A restore writes it to a group other than the one
+** that was backed up, because the ledger is not part of the backup. */
 #define PWSTATE_ONCE_HOLD "once-hold"
 
 typedef struct pw_state pw_state;
--- a/packages/store/pwstore.c
+++ b/packages/store/pwstore.c
@@ -20,7 +20,7 @@
 #define LOG_MAGIC 0x474c5750U
 #define SNAP_MAGIC 0x4e535750U
 #define ID_MAGIC 0x44495750U
-#define SINK_BYTES 65536 /* of a snapshot, buffered for one write */
+#define SINK_BYTES 65536 /* bytes of a snapshot buffered for one write */
 
 typedef struct file_header {
   uint32_t magic;
@@ -278,8 +278,8 @@
     closedir(d);
 }
 
-/* Opens a segment for appending at byte `size` and cuts off what follows, a torn
-** record or reserved space. */
+/* Opens a segment for appending at byte `size` and cuts off what follows, a
+** torn record or reserved space. */
 static pw_code open_segment(pw_store *s, uint64_t base, uint64_t size) {
   char path[PATH_BYTES];
   segment_path(s, base, path);
@@ -381,9 +381,9 @@
   free(bytes);
 }
 
-/* Receives a packed snapshot in pieces. A snapshot is packed twice, first into its
-** checksum and then into the file, because a packed copy in memory would take
-** as much memory again as the snapshot. */
+/* Receives a packed snapshot in pieces. A snapshot is packed twice, first
+** into its checksum and then into the file, because a packed copy in memory
+** would take as much memory again as the snapshot. */
 typedef struct snapshot_sink {
   ProtobufCBuffer base; /* must be first: append casts it to the sink */
   XXH3_state_t *sum;    /* NULL: write to the file */
@@ -454,8 +454,9 @@
   return rc == 0 ? PW_OK : io_code();
 }
 
-/* The new segment is complete on disk before the snapshot that refers to it, and
-** old segments are removed last, so a crash between two steps loses nothing. */
+/* The new segment is complete on disk before the snapshot that refers to it,
+** and old segments are removed last, so a crash between two steps loses
+** nothing. */
 pw_code pwstore_snapshot(pw_store *s, const Pw__Snapshot *snapshot,
                          uint64_t term, uint64_t vote, Pw__Entry **entries,
                          size_t n) {
--- a/packages/store/pwstore.h
+++ b/packages/store/pwstore.h
@@ -33,19 +33,19 @@
   size_t nentries;
 } pw_store_state;
 
-/* Opens the folder `dir` for a control instance and creates the identity file in
-** an empty one. Reasons of failures are appended to err. PW_E_CORRUPT,
-** PW_E_VERSION, PW_E_IO, PW_E_DISK_FULL; PW_E_SETTINGS when the disk belongs to
-** another control.id. */
+/* Opens the folder `dir` for a control instance and creates the identity
+** file in an empty one. Reasons of failures are appended to err.
+** PW_E_CORRUPT, PW_E_VERSION, PW_E_IO, PW_E_DISK_FULL; PW_E_SETTINGS when
+** the disk belongs to another control.id. */
 pw_code pwstore_open(const char *dir, uint32_t control_id,
                      const pw_file_ops *ops, pw_store **out,
                      pw_store_state *state, pw_buf *err);
 void pwstore_state_free(pw_store_state *state);
 void pwstore_close(pw_store *s);
 
-/* Writes the first snapshot or replaces the old one, whose index must be another,
-** and starts a log segment with term, vote and these entries. All is synced when
-** it returns. */
+/* Writes the first snapshot or replaces the old one, whose index must be
+** another, and starts a log segment with term, vote and these entries. All
+** is synced when it returns. */
 pw_code pwstore_snapshot(pw_store *s, const Pw__Snapshot *snapshot,
                          uint64_t term, uint64_t vote, Pw__Entry **entries,
                          size_t n);
@@ -64,10 +64,10 @@
 uint64_t pwstore_bytes(const pw_store *s);
 uint64_t pwstore_syncs(const pw_store *s);
 
-/* Reads the record at data[*at], with n bytes in total. Returns 1 with *payload
-** and *len filled and *at after the record; 0 at the end, where nothing or only
-** zeros follow; -1 for a torn record, which reaches to the end or beyond; -2 for
-** a damaged record with more data after it. */
+/* Reads the record at data[*at], with n bytes in total. Returns 1 with
+** *payload and *len filled and *at after the record; 0 at the end, where
+** nothing or only zeros follow; -1 for a torn record, which reaches to the
+** end or beyond; -2 for a damaged record with more data after it. */
 int pwstore_read_record(const uint8_t *data, size_t n, size_t *at,
                         const uint8_t **payload, size_t *len);
 
--- a/tests/test_ledger.c
+++ b/tests/test_ledger.c
@@ -1,5 +1,5 @@
-/* test_ledger.c: the once-ledger: claims, answers that exceed its limits, a full
-** ledger, expiry and packing; and the set of hashed keys (pwdedup). */
+/* test_ledger.c: the once-ledger: claims, answers that exceed its limits, a
+** full ledger, expiry and packing; and the set of hashed keys (pwdedup). */
 #include "pwbuf.h"
 #include "pwdedup.h"
 #include "pwlimits.h"
@@ -54,10 +54,11 @@
   pwonce_free(o);
 }
 
-/* Guards against claims that are open for good: a copy of a claim that was read
-** after the claim was given back was granted, so that a caller with the answer
-** "not run" got 4007 for each resend. Neither a copy that arrives after the record
-** nor one whose record arrives before any claim is granted, also after packing. */
+/* Guards against claims that are open for good: a copy of a claim that was
+** read after the claim was given back was granted, so that a caller with the
+** answer "not run" got 4007 for each resend. Neither a copy that arrives
+** after the record nor one whose record arrives before any claim is granted,
+** also after packing. */
 static void test_given_back(void) {
   pw_once *o = pwonce_new();
   pw_once *copy = pwonce_new();
@@ -186,8 +187,8 @@
   pwonce_free(o);
 }
 
-/* After a ledger was lost, unknown keys are refused until a set time, while known
-** ones are answered. */
+/* After a ledger was lost, unknown keys are refused until a set time, while
+** known ones are answered. */
 static void test_refuse_until(void) {
   pw_once *o = pwonce_new();
   expect_claim(o, 1000, "a", "k", "body", PW_OK, 0);
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,5 +1,5 @@
-/* test_store.c: the data folder after crashes, damage and on a full disk; and the
-** replicated resources, compared with a simple model of them. */
+/* test_store.c: the data folder after crashes, damage and on a full disk;
+** and the replicated resources, compared with a simple model of them. */
 #include "pwbuf.h"
 #include "pwcons.h"
 #include "pwlimits.h"
@@ -303,14 +303,14 @@
   return o;
 }
 
-static void check_against_model(const pw_state *s, const expected *n) {
+static void check_against_model(const pw_state *s, const expected *model) {
   for (int i = 0; i < NAMES; i++) {
     char name[16], spec[64];
     snprintf(name, sizeof name, "m%d", i);
-    snprintf(spec, sizeof spec, "{\"context_tokens\":%d}", n[i].value);
+    snprintf(spec, sizeof spec, "{\"context_tokens\":%d}", model[i].value);
     const pw_resource *r = pwres_get(pwstate_resources(s), "model", name);
-    CHECK((r != NULL) == n[i].live);
-    CHECK(!r || (r->version == n[i].version && !strcmp(r->spec, spec)));
+    CHECK((r != NULL) == model[i].live);
+    CHECK(!r || (r->version == model[i].version && !strcmp(r->spec, spec)));
   }
 }
 
@@ -323,8 +323,8 @@
   free(bytes);
 }
 
-/* Updates a copy by a delta from its revision. It must reach the revision of the
-** original. */
+/* Updates a copy by a delta from its revision. It must reach the revision of
+** the original. */
 static void apply_delta(pw_res *copy, const pw_res *r) {
   Pw__Resource *list[1000];
   size_t n = 0;
@@ -342,40 +342,41 @@
   pw_random rnd = {.seed = test_seed(11)};
   pw_state *s = pwstate_new();
   pw_res *copy = pwres_new();
-  expected n[NAMES] = {0};
+  expected model[NAMES] = {0};
   for (int i = 0; i < 20000; i++) {
     int k = (int)pwrand_below(&rnd, NAMES);
     int remove = pwrand_below(&rnd, 5) == 0;
-    uint64_t have = n[k].live ? n[k].version : 0;
+    uint64_t have = model[k].live ? model[k].version : 0;
     uint64_t version = pwrand_below(&rnd, 3) ? have : have + 1;
     char name[16];
     snprintf(name, sizeof name, "m%d", k);
     Pw__Outcome *o = put(s, name, version, i + 1, remove);
-    pw_code want = remove && !n[k].live ? PW_E_NOT_FOUND
-                   : version != have    ? PW_E_CONFLICT
-                                        : PW_OK;
+    pw_code want = remove && !model[k].live ? PW_E_NOT_FOUND
+                   : version != have        ? PW_E_CONFLICT
+                                            : PW_OK;
     CHECK(o->code == want);
-    CHECK(want != PW_E_CONFLICT || !n[k].live ||
+    CHECK(want != PW_E_CONFLICT || !model[k].live ||
           o->resources[0]->version == have); /* the current one is shown */
     pw__outcome__free_unpacked(o, NULL);
     if (want == PW_OK) {
-      n[k].version++;
-      n[k].live = !remove;
-      n[k].value = i + 1;
+      model[k].version++;
+      model[k].live = !remove;
+      model[k].value = i + 1;
     }
     if (pwrand_below(&rnd, 50) == 0)
       apply_delta(copy, pwstate_resources(s));
     if (pwrand_below(&rnd, 500) == 0)
       save_and_load(&s);
     if (pwrand_below(&rnd, 100) == 0)
-      check_against_model(s, n);
+      check_against_model(s, model);
   }
   apply_delta(copy, pwstate_resources(s));
   for (int i = 0; i < NAMES; i++) {
     char name[16];
     snprintf(name, sizeof name, "m%d", i);
     const pw_resource *r = pwres_get(copy, "model", name);
-    CHECK((r != NULL) == n[i].live && (!r || r->version == n[i].version));
+    CHECK((r != NULL) == model[i].live &&
+          (!r || r->version == model[i].version));
   }
   pwres_free(copy);
   pwstate_free(s);
