--- a/packages/cli/pwbackup.c
+++ b/packages/cli/pwbackup.c
@@ -1,4 +1,5 @@
-/* pwbackup.c: `peatwell backup` and `restore`: write all resources to a file, and back. */
+/* pwbackup.c: `peatwell backup` and `restore`: write all resources to a
+** file, and back. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -16,7 +17,7 @@
 #include <string.h>
 
 #define FORMAT 1
-#define MESSAGE 256
+#define MESSAGE_BYTES 256
 #define ROOT "/v1/resources"
 
 static int usage(const char *text) {
@@ -36,7 +37,8 @@
   return rc == 0 ? PWEXIT_OK : PWEXIT_FAILED;
 }
 
-/* Removes the resources that only the leader writes: it derives them again from the others. */
+/* Removes the resources that only the leader writes: it derives them again
+** from the others. */
 static void drop_leader_only(json_t *list) {
   for (size_t i = json_array_size(list); i-- > 0;) {
     const json_t *r = json_array_get(list, i);
@@ -45,18 +47,19 @@
   }
 }
 
-/* Reads the control group's id into *group, to be freed; "" when the status lacks it. */
+/* Reads the control group's id into *group, to be freed; "" when the status
+** lacks it. */
 static pw_code read_group(pw_options *o, char **group, char *message) {
   json_t *status = NULL;
   pw_code rc = pwclient_call(&o->client, "GET", "/v1/status", NULL, &status,
-                             message, MESSAGE);
+                             message, MESSAGE_BYTES);
   *group = pw_dup(rc == PW_OK ? pwjson_text(status, "group") : "");
   json_decref(status);
   return rc;
 }
 
 int pwcmd_backup(pw_options *o) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *backup = NULL;
   char *group;
   if (o->nargs != 1)
@@ -111,15 +114,17 @@
   return i;
 }
 
-/* Seconds for which the group of the backup remembers the keys of requests that may run once. */
+/* Seconds for which the group of the backup remembers the keys of requests
+** that may run once. */
 static double keys_kept_s(const json_t *list) {
   const json_t *r = json_array_get(list, find_policy(list, "default"));
   return pwjson_number(json_object_get(r, "spec"), "once_keep_s",
                        (double)PW_ONCE_KEEP_MS / 1000);
 }
 
-/* Makes a group other than that of the backup refuse all keys until those that
-** may have run have expired: it has no record of them and could run one twice. */
+/* Makes a group other than that of the backup refuse all keys until those
+** that may have run have expired: it has no record of them and could run one
+** twice. */
 static void refuse_keys(json_t *list) {
   double keep = keys_kept_s(list);
   double until = (double)pwclock_wall_ms() / 1000 + keep;
@@ -135,7 +140,7 @@
 /* Writes the resources of the backup over any present version, all or none.
 ** Resources that the backup does not name stay. */
 int pwcmd_restore(pw_options *o) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *answer = NULL;
   char *group;
   size_t i;
--- a/packages/cli/pwclient.c
+++ b/packages/cli/pwclient.c
@@ -67,8 +67,9 @@
   return rc;
 }
 
-/* Errors after which the same call may be repeated at another server: with the
-** same Idempotency-Key, a change that was already made gives its first result. */
+/* Errors after which the same call may be repeated at another server: with
+** the same Idempotency-Key, a change that was already made gives its first
+** result. */
 static int is_retryable(pw_code rc) {
   return rc == PW_E_NOT_LEADER || rc == PW_E_CONNECT || rc == PW_E_CUT ||
          rc == PW_E_TIMEOUT || rc == PW_E_UNKNOWN || rc == PW_E_UPSTREAM;
--- a/packages/cli/pwcmd.c
+++ b/packages/cli/pwcmd.c
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <time.h>
 
-#define MESSAGE 256
+#define MESSAGE_BYTES 256
 #define POLL_NS 100000000L
 #define ROOT "/v1/resources"
 
@@ -105,21 +105,21 @@
   free(s);
 }
 
-static void print_difference(const json_t *old, const json_t *fresh) {
+static void print_difference(const json_t *old, const json_t *wanted) {
   const char *field;
   json_t *v;
   json_object_foreach((json_t *)old, field, v) {
-    if (!json_equal(v, json_object_get(fresh, field)))
+    if (!json_equal(v, json_object_get(wanted, field)))
       print_value("-", field, v);
   }
-  json_object_foreach((json_t *)fresh, field, v) {
+  json_object_foreach((json_t *)wanted, field, v) {
     if (!json_equal(v, json_object_get(old, field)))
       print_value("+", field, v);
   }
 }
 
-/* Adds the wanted resources that differ from the current ones to `changes`; prints a line for
-** each wanted resource. */
+/* Adds the wanted resources that differ from the current ones to `changes`;
+** prints a line for each wanted resource. */
 static void compare(const pw_options *o, const json_t *wanted,
                     const json_t *current, json_t *changes) {
   size_t i;
@@ -147,7 +147,7 @@
 
 static int send_changes(pw_options *o, const json_t *changes,
                         json_int_t *revision) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *answer;
   json_t *body = json_pack("{s:O}", "resources", changes);
   pw_code rc = pwclient_call(&o->client, "POST", ROOT, body, &answer, message,
@@ -169,7 +169,7 @@
 }
 
 int pwcmd_apply(pw_options *o) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *current = NULL;
   json_t *changes = json_array();
   int code = PWEXIT_INPUT;
@@ -221,8 +221,8 @@
 }
 
 int pwcmd_wait_in_force(pw_options *o, json_int_t revision) {
-  char message[MESSAGE] = "";
-  char why[MESSAGE] = "no control leader answered";
+  char message[MESSAGE_BYTES] = "";
+  char why[MESSAGE_BYTES] = "no control leader answered";
   int64_t until = pwclock_ms() + o->client.timeout_ms;
   json_int_t shown = -1;
   do {
@@ -273,7 +273,7 @@
 }
 
 int pwcmd_get(pw_options *o) {
-  char path[256], message[MESSAGE] = "";
+  char path[256], message[MESSAGE_BYTES] = "";
   int one = o->nargs >= 2;
   json_t *answer;
   snprintf(path, sizeof path, one ? ROOT "/%s/%s" : ROOT, one ? o->args[0] : "",
@@ -301,7 +301,7 @@
 /* Makes one change; with --wait, waits until it is in force. */
 static int change_one(pw_options *o, const char *method, const char *path,
                       const json_t *body, const char *done) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *answer;
   pw_code rc = pwclient_call(&o->client, method, path, body, &answer, message,
                              sizeof message);
@@ -330,7 +330,7 @@
 
 int pwcmd_watch(pw_options *o) {
   json_int_t since = o->since ? atoll(o->since) : 0;
-  char path[128], message[MESSAGE] = "";
+  char path[128], message[MESSAGE_BYTES] = "";
   do {
     json_t *answer;
     snprintf(path, sizeof path, ROOT "?since=%lld", (long long)since);
@@ -475,7 +475,7 @@
 }
 
 static int wait_for_rollouts(pw_options *o) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   int64_t until = pwclock_ms() + o->client.timeout_ms;
   json_t *shown = json_object();
   json_int_t revision = 0;
@@ -498,7 +498,7 @@
 }
 
 int pwcmd_status(pw_options *o) {
-  char message[MESSAGE] = "";
+  char message[MESSAGE_BYTES] = "";
   json_t *st;
   pw_code rc = pwclient_call(&o->client, "GET", "/v1/status", NULL, &st,
                              message, sizeof message);
@@ -519,7 +519,7 @@
 }
 
 int pwcmd_drain(pw_options *o) {
-  char path[256], message[MESSAGE] = "";
+  char path[256], message[MESSAGE_BYTES] = "";
   json_t *current;
   if (o->nargs < 1)
     return pwcmd_error(PW_E_USAGE, "drain TARGET [off]") ? PWEXIT_USAGE : 0;
--- a/packages/cli/pwcmd.h
+++ b/packages/cli/pwcmd.h
@@ -58,10 +58,12 @@
 /* The processes of the fleet as a JSON list of {http, role}; new reference. */
 json_t *pwcmd_processes(pw_options *o);
 
-/* Waits until `revision` is in force everywhere and shows the progress; gives the exit code. */
+/* Waits until `revision` is in force everywhere and shows the progress;
+** gives the exit code. */
 int pwcmd_wait_in_force(pw_options *o, json_int_t revision);
 
-/* Reads the resources of TOML files into a JSON list; NULL after printing what is invalid. */
+/* Reads the resources of TOML files into a JSON list; NULL after printing
+** what is invalid. */
 json_t *pwcmd_read_files(const char *const *files, int n);
 
 #endif
--- a/packages/cli/pwevacuatecmd.c
+++ b/packages/cli/pwevacuatecmd.c
@@ -6,7 +6,7 @@
 
 #include <stdio.h>
 
-#define MESSAGE 256
+#define MESSAGE_BYTES 256
 #define PATH_BYTES (PW_NAME_MAX + 64)
 
 /* Ending an evacuation that does not exist (any more) counts as success. */
@@ -15,7 +15,7 @@
 }
 
 int pwcmd_evacuate(pw_options *o) {
-  char path[PATH_BYTES], message[MESSAGE] = "";
+  char path[PATH_BYTES], message[MESSAGE_BYTES] = "";
   json_t *answer;
   if (o->nargs != 1) {
     pwcmd_error(PW_E_USAGE, "evacuate ZONE [--end]");
--- a/packages/cli/pwprocs.c
+++ b/packages/cli/pwprocs.c
@@ -29,7 +29,8 @@
   }
 }
 
-/* Control instances and entries come from the status, agents from the entries' children. */
+/* Control instances and entries come from the status, agents from the
+** entries' children. */
 json_t *pwcmd_processes(pw_options *o) {
   char message[256];
   json_t *list = json_array();
--- a/packages/cli/pwreportcmd.c
+++ b/packages/cli/pwreportcmd.c
@@ -1,5 +1,6 @@
-/* pwreportcmd.c: `peatwell report`: measures cache hits, load skew and control
-** traffic of the fleet for a time; prints a table and draws charts in an HTML file. */
+/* pwreportcmd.c: `peatwell report`: measures cache hits, load skew and
+** control traffic of the fleet for a time; prints a table and draws charts
+** in an HTML file. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -82,7 +83,8 @@
   pwbuf_free(&out);
 }
 
-/* The increase of a counter, which starts again from 0 when its process restarts. */
+/* The increase of a counter, which starts again from 0 when its process
+** restarts. */
 static double increase(double now, double before) {
   return now >= before ? now - before : now;
 }
--- a/packages/cli/pwrequestscmd.c
+++ b/packages/cli/pwrequestscmd.c
@@ -1,5 +1,5 @@
-/* pwrequestscmd.c: `peatwell requests`: the requests in flight at gateways, the oldest
-** first, and the targets that they are at. */
+/* pwrequestscmd.c: `peatwell requests`: the requests in flight at gateways,
+** the oldest first, and the targets that they are at. */
 #include "pwcmd.h"
 
 #include "pwjson.h"
@@ -29,8 +29,8 @@
          (!o->target || !strcmp(o->target, pwjson_text(request, "target")));
 }
 
-/* Fetches each gateway's requests and adds its address; reports gateways that do not answer on
-** stderr and counts them. */
+/* Fetches each gateway's requests and adds its address; reports gateways
+** that do not answer on stderr and counts them. */
 static json_t *fetch_all(const pw_options *o, int *missing) {
   json_t *all = json_array();
   for (int i = 0; i < o->nargs; i++) {
--- a/packages/cli/pwrolloutcmd.c
+++ b/packages/cli/pwrolloutcmd.c
@@ -1,5 +1,5 @@
-/* pwrolloutcmd.c: `peatwell rollout`: moves a service to targets of another version,
-** or shows the state of its rollout. */
+/* pwrolloutcmd.c: `peatwell rollout`: moves a service to targets of another
+** version, or shows the state of its rollout. */
 #include "pwcmd.h"
 
 #include "pwjson.h"
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define MESSAGE 256
+#define MESSAGE_BYTES 256
 #define PATH_BYTES (PW_NAME_MAX + 64)
 
 /* The body of an order; NULL when only the state is asked for. */
@@ -26,7 +26,7 @@
 }
 
 int pwcmd_rollout(pw_options *o) {
-  char path[PATH_BYTES], message[MESSAGE] = "";
+  char path[PATH_BYTES], message[MESSAGE_BYTES] = "";
   json_t *answer;
   if (o->nargs != 1 && o->nargs != 3) {
     pwcmd_error(PW_E_USAGE, "rollout SERVICE [VERSION SECONDS]");
--- a/packages/cli/pwtimelinecmd.c
+++ b/packages/cli/pwtimelinecmd.c
@@ -1,5 +1,5 @@
-/* pwtimelinecmd.c: `peatwell timeline`: merges the events of all processes by their
-** hybrid logical clock. */
+/* pwtimelinecmd.c: `peatwell timeline`: merges the events of all processes
+** by their hybrid logical clock. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
--- a/packages/cli/pwtracecmd.c
+++ b/packages/cli/pwtracecmd.c
@@ -1,5 +1,6 @@
-/* pwtracecmd.c: `peatwell trace`: prints the log lines of one request from all processes,
-** with the changes that its instances logged of themselves and its targets around that time. */
+/* pwtracecmd.c: `peatwell trace`: prints the log lines of one request from
+** all processes, with the changes that its instances logged of themselves
+** and its targets around that time. */
 #include "pwcmd.h"
 
 #include "pwbuf.h"
@@ -76,7 +77,8 @@
   s->n++;
 }
 
-/* Reads log lines; text before "ts=", such as a log collector's own stamp, is dropped. */
+/* Reads log lines; text before "ts=", such as a log collector's own stamp,
+** is dropped. */
 static void read_file(trace *s, FILE *f) {
   char text[LINE_BYTES];
   while (fgets(text, sizeof text, f)) {
@@ -107,7 +109,8 @@
   return !strcmp(value, id);
 }
 
-/* Collects the time span, targets and instances of the request's own lines; gives their number. */
+/* Collects the time span, targets and instances of the request's own lines;
+** gives their number. */
 static int find_own(trace *s, const char *id) {
   char value[FIELD_BYTES];
   int found = 0;
@@ -128,8 +131,9 @@
   return found;
 }
 
-/* Whether a line of no request, close in time, comes from one of the request's instances and is
-** about that instance or one of the request's targets. */
+/* Whether a line of no request, close in time, comes from one of the
+** request's instances and is about that instance or one of the request's
+** targets. */
 static int is_around(trace *s, const line *l) {
   char value[FIELD_BYTES];
   if (l->ts < s->first - BEFORE_S || l->ts > s->last + AFTER_S)
