--- a/tests/test_hold.c
+++ b/tests/test_buflimits.c
@@ -1,4 +1,4 @@
-/* test_hold.c: limits on what a process buffers for callers that do not read
+/* test_buflimits.c: limits on what a process buffers for callers that do not read
 ** their answers.
 **
 ** It guards against this failure: 1,000 callers stop in the middle of their
--- a/tests/test_gather.c
+++ b/tests/test_coalesce.c
@@ -1,4 +1,4 @@
-/* test_gather.c: when gateways are notified of a configuration while hundreds
+/* test_coalesce.c: when gateways are notified of a configuration while hundreds
 ** of targets return.
 **
 ** It guards against this failure: after a loss of all targets, 358 gateways
--- a/tests/test_places.c
+++ b/tests/test_shed.c
@@ -1,4 +1,4 @@
-/* test_places.c: load shedding: urgency classes, shares, timeouts, load
+/* test_shed.c: load shedding: urgency classes, shares, timeouts, load
 ** spikes. */
 #include "pwtest.h"
 
--- a/tests/test_standstill.c
+++ b/tests/test_stall.c
@@ -1,4 +1,4 @@
-/* test_standstill.c: decisions of agents and entries when agents find many
+/* test_stall.c: decisions of agents and entries when agents find many
 ** requests at once after a stall, while the other targets of their pool fail
 ** and are ejected. */
 #include "pwadmit.h"
--- a/tests/test_sight.c
+++ b/tests/test_topology.c
@@ -1,4 +1,4 @@
-/* test_sight.c: load exchange between many gateways: groups and their
+/* test_topology.c: load exchange between many gateways: groups and their
 ** aggregators, loads and prompts in datagrams, shares of the slots of a
 ** service. */
 #include "pwgossipmsg.h"
