--- a/packages/core/pwlimits.h
+++ b/packages/core/pwlimits.h
@@ -68,8 +68,8 @@
 #define PW_ROLLOUTS_MAX 64
 
 /* Quarantine: a request during which so many targets crashed is not sent to any target for so long
-** (ms). One or two crashes also happen during harmless requests (on a bad day one target in 15
-** crashes at once); a third is the most that users of a fleet accept. Ten minutes outlast callers
+** (ms). One or two crashes also happen during harmless requests (in a large outage one target in
+** 15 crashes at once); a third is the most that users of a fleet accept. Ten minutes outlast callers
 ** that retry. */
 #define PW_QUARANTINE_CRASHES 3
 #define PW_QUARANTINE_MS (600LL * 1000)
--- a/packages/gateway/pwconfsync.c
+++ b/packages/gateway/pwconfsync.c
@@ -1,12 +1,12 @@
 /* pwconfsync.c: fetches newer configurations of a gateway, reads them and applies them. */
 #include "pwlinkint.h"
 
-/* A document that did not come is requested again after this time, ms. */
+/* A document that was not received is requested again after this time, ms. */
 #define REQUEST_RETRY_MS 300
 
 /* A newer document is requested from the primary. If the primary has not reported it after this
-** time, ms, it is requested from another control instance, and from the next one after each further such
-** time. */
+** time, ms, it is requested from another control instance, and from the next one each time that the same
+** time has passed again. */
 #define REQUEST_OTHER_MS 1000
 
 /* --- requests --- */
@@ -33,8 +33,8 @@
   return last;
 }
 
-/* Requests the newest configuration from one control instance. If each one were asked, 103 gateways
-** would get 515 copies of 35 KB, which kept the links of five control instances busy for 5 s, with
+/* Requests the newest configuration from one control instance. If it were requested from each one,
+** 103 gateways would get 515 copies of 35 KB, which kept the links of five control instances busy for 5 s, with
 ** votes and leases queued behind them. */
 void pwconfsync_request(pw_link *l, int64_t now) {
   int nnewer = 0;
@@ -100,7 +100,7 @@
   l->relay_addr[0] = 0;
 }
 
-/* Requests the document from a gateway that has it. Its copy is as good as control's, since a version
+/* Requests the document from a gateway that has it. That copy is the same as control's, since a version
 ** never changes and only committed versions are ever sent. */
 static void fetch_from_relay(pw_link *l, const char *addr) {
   Pw__Watch m = PW__WATCH__INIT;
@@ -122,7 +122,7 @@
     return;
   }
   pw_code rc = pwdoc_apply(l->doc, d);
-  /* The base of the difference is not held here: the full document is needed. */
+  /* This gateway does not have the base version of the difference: the full document is needed. */
   if (rc == PW_E_STALE) {
     l->requested_at = 0;
     pwdoc_clear(l->doc);
@@ -131,7 +131,7 @@
     return;
   l->config_at = now;
   close_relay(l);
-  if (l->requested_from) /* it may refer other gateways to this one now */
+  if (l->requested_from) /* it may refer other gateways here now */
     pwlink_send_watch(l, l->requested_from, 0, now);
   pwconfsync_read(l);
 }
--- a/packages/gateway/pwevents.c
+++ b/packages/gateway/pwevents.c
@@ -14,8 +14,9 @@
   va_end(ap);
   int64_t now = pwclock_ms();
   pwtrace_line(x->g->trace, kind, now, event,
-               "req=%.*s route=%s ws=%s age=%lld %s", (int)x->ask.id.n,
-               x->ask.id.p ? x->ask.id.p : "", x->route ? x->route->name : "-",
+               "req=%.*s route=%s ws=%s age=%lld %s", (int)x->request_info.id.n,
+               x->request_info.id.p ? x->request_info.id.p : "",
+               x->route ? x->route->name : "-",
                x->workspace ? x->workspace->name : "-",
                (long long)(x->arrived ? now - x->arrived : 0), text);
 }
@@ -46,7 +47,7 @@
   note_pause(x);
   x->nchunks++;
   pwconn_write(x->caller, data, n);
-  if (x->u && pwtcp_pending(x->caller->tcp) > x->g->hold.unwritten &&
+  if (x->u && pwtcp_pending(x->caller->tcp) > x->g->buf_limits.unwritten &&
       !x->is_paused) {
     x->is_paused = 1;
     pwupconn_pause(x->u, 1);
--- a/packages/gateway/pwexchange.c
+++ b/packages/gateway/pwexchange.c
@@ -14,16 +14,16 @@
 /* Time for which bytes that have already arrived are still read after a request's time is over, ms. */
 #define READ_PENDING_MS 200
 
-/* Random addition to a retry delay, ms, so that callers do not all come back at once. */
+/* Random addition to a retry delay, ms, so that callers do not all retry at once. */
 #define RETRY_SPREAD_MS 300
 
 /* Time after its start by which a gateway has its configuration, ms: control elects a
 ** leader in one to one and a half leases of 500 ms. */
 #define CONFIG_EXPECTED_MS 1000
 
-/* Requests that came before a configuration wait for at most their caller's deadline divided
-** by AWAIT_DIVISOR, so that the caller has time to come back. The other two limit the number of
-** waiting requests and the bytes of their bodies. */
+/* Requests that arrive before a configuration wait for at most their caller's deadline divided
+** by AWAIT_DIVISOR, so that the caller has time to retry. AWAITING_MAX and AWAITING_MAX_BYTES limit
+** the number of waiting requests and the bytes of their bodies. */
 #define AWAIT_DIVISOR 3
 #define AWAITING_MAX 2000
 #define AWAITING_MAX_BYTES (16UL * 1024 * 1024)
@@ -104,7 +104,6 @@
   pwbuf_free(&body);
 }
 
-/* The part of the answer that was forwarded cannot be completed any more. */
 void pwexi_abort(pw_exchange *x, const char *why) {
   pw_conn *c = detach_caller(x);
   pwexi_log(x, PWTRACE_FAIL, "broken-off", "target=%s why=\"%s\" last=%.*s",
@@ -149,7 +148,7 @@
   return until - pwclock_ms();
 }
 
-/* Refuses a request with the time by which a configuration is expected. */
+/* Refuses a request; its caller may retry when a configuration is expected to be here. */
 static void refuse_unready(pw_exchange *x) {
   pw_gate *g = x->g;
   int64_t left = g->started_at + CONFIG_EXPECTED_MS - pwclock_ms();
@@ -158,8 +157,8 @@
                least + (int64_t)(pwgate_random(g) * RETRY_SPREAD_MS));
 }
 
-/* Ms by which the time-out is deferred; -1: not at all. Bytes that have arrived are read first: the loop
-** runs timers before reads, and both are due at once after a stall. */
+/* Ms by which the time-out is deferred; -1: it is not deferred. Bytes that have arrived are read first:
+** the loop runs timers before reads, and both are due at once after a stall. */
 static int64_t defer_timeout_ms(const pw_exchange *x, int64_t now) {
   int64_t catch_up = pwlag_catch_up(&x->g->tcp.lag, now);
   if (catch_up > 0)
@@ -212,20 +211,22 @@
   return now >= x->timer_at + LATE_TIMER_MS && time_out(x, now);
 }
 
-/* --- beginning --- */
+/* --- start of a request --- */
 
-/* Finds route, workspace and service in the configuration. 0, or -1: it was refused. */
+/* Finds the request's route, workspace and service in the configuration. Returns -1 if the request was
+** refused, else 0. */
 static int admit(pw_exchange *x) {
   pw_gate *g = x->g;
   const pw_h1 *m = &x->caller->request;
-  x->route =
-      pwsite_route(x->site, x->ask.host.p, x->ask.host.n, m->url, m->nurl);
+  x->route = pwsite_route(x->site, x->request_info.host.p,
+                          x->request_info.host.n, m->url, m->nurl);
   if (!x->route) {
     pwexi_refuse(x, PW_E_ROUTE, "", 0);
     return -1;
   }
-  if (pwsite_has_workspaces(x->site) && x->ask.key.p)
-    x->workspace = pwsite_workspace(x->site, x->ask.key.p, x->ask.key.n);
+  if (pwsite_has_workspaces(x->site) && x->request_info.key.p)
+    x->workspace =
+        pwsite_workspace(x->site, x->request_info.key.p, x->request_info.key.n);
   if (pwsite_has_workspaces(x->site) && !x->workspace && !x->route->is_public) {
     pwexi_refuse(x, PW_E_KEY, "", 0);
     return -1;
@@ -242,12 +243,12 @@
 ** one answer within the goal is worth more than three late ones. */
 static int is_repeat(pw_exchange *x) {
   pw_gate_route *r = pwgate_route(x->g, x->route->name);
-  int64_t ms = x->ask.deadline_ms;
+  int64_t ms = x->request_info.deadline_ms;
   if (!r || ms < 0)
     return 0;
   pwtimeouts_note(&r->baseline, ms,
-                  pwshed_admitted_share(&x->service_state->places) >
-                      PWEX_CALM_SHARE);
+                  pwshed_admitted_share(&x->service_state->shed) >
+                      PWEX_AMPLE_SHARE);
   int64_t shortest = pwtimeouts_shortest(&r->baseline);
   x->retry_known_ms =
       pwtimeouts_baseline(&r->baseline) - shortest + repeat_margin_ms(x);
@@ -280,8 +281,9 @@
     return;
   x->fingerprint = fingerprint_of(x);
   x->timeout_at = x->arrived + x->route->timeout_ms;
-  x->deadline_at =
-      x->ask.deadline_ms >= 0 ? x->arrived + x->ask.deadline_ms : x->timeout_at;
+  x->deadline_at = x->request_info.deadline_ms >= 0
+                       ? x->arrived + x->request_info.deadline_ms
+                       : x->timeout_at;
   x->service_state = pwgate_service(g, x->service->name);
   x->urgency = urgency_of(x);
   x->is_deprioritized = is_repeat(x);
@@ -290,15 +292,16 @@
   pwexi_dispatch(x);
 }
 
-/* --- requests that came before a configuration --- */
+/* --- requests that wait for a configuration --- */
 
-/* Queues the request until a configuration comes, or refuses it when too many wait. */
+/* Queues the request until a configuration is received, or refuses it when too many requests wait. */
 static void await_configuration(pw_exchange *x) {
   pw_gate *g = x->g;
   size_t bytes = x->caller->body.len;
   int64_t wait_ms = g->p->set->gateway_await;
-  if (x->ask.deadline_ms >= 0 && x->ask.deadline_ms / AWAIT_DIVISOR < wait_ms)
-    wait_ms = x->ask.deadline_ms / AWAIT_DIVISOR;
+  if (x->request_info.deadline_ms >= 0 &&
+      x->request_info.deadline_ms / AWAIT_DIVISOR < wait_ms)
+    wait_ms = x->request_info.deadline_ms / AWAIT_DIVISOR;
   if (g->nawaiting == AWAITING_MAX ||
       g->awaiting_bytes + bytes > AWAITING_MAX_BYTES) {
     refuse_unready(x);
@@ -327,7 +330,7 @@
   c->state = x;
   x->arrived = pwclock_ms();
   g->nexchanges++;
-  g->dialect->read_request(&c->request, &x->ask);
+  g->dialect->read_request(&c->request, &x->request_info);
   ev_timer_init(&x->timer, on_timer, 0, 0);
   x->timer.data = x;
   pwcount_add(g->p->counters, PWC_REQUESTS, 1);
@@ -353,7 +356,7 @@
 
 int pwexchange_is_stale(const pw_exchange *x, const pw_h1 *m,
                         pw_answer_info *info) {
-  x->g->dialect->read_answer(m, &x->ask, info);
+  x->g->dialect->read_answer(m, &x->request_info, info);
   return !info->id_matches;
 }
 
--- a/packages/gateway/pwexfail.c
+++ b/packages/gateway/pwexfail.c
@@ -4,10 +4,10 @@
 
 #include <stdio.h>
 
-/* Most retries after a target proved that it did not run the request. */
+/* Most retries after targets proved that they did not run the request. */
 #define HOPS_MAX 4
 
-/* Most retries after a connection that could not be made. */
+/* Most retries after connections that could not be made. */
 #define CONNECT_FAILURES_MAX 6
 
 /* A request is overdue no earlier than this after it was sent, ms: a shorter time is common for a
@@ -19,17 +19,17 @@
 
 void pwexi_note_crashed(pw_exchange *x, int64_t now) {
   pw_gate *g = x->g;
-  pw_quar_change news =
+  pw_quar_change change =
       pwquar_crashed(g->quarantine, x->fingerprint, x->t->start_hash, now);
   pwexi_log(x, PWTRACE_FAIL, "ended-under",
             "target=%s sign=%016llx began=%d ends=%d", x->t->id,
             (unsigned long long)x->fingerprint, x->has_begun,
             pwquar_crashes(g->quarantine, x->fingerprint));
-  pwgate_log_suspect(g, x->fingerprint, news, "seen");
+  pwgate_log_suspect(g, x->fingerprint, change, "seen");
 }
 
 void pwexi_note_unresponsive(pw_exchange *x, int64_t now) {
-  if (x->t->is_silent || x->t->is_gone) { /* control reports it, too */
+  if (x->t->is_silent || x->t->is_gone) { /* control reports the loss, too */
     pwexi_note_crashed(x, now);
     return;
   }
@@ -40,9 +40,10 @@
 }
 
 void pwexi_note_answered(pw_exchange *x, int64_t now) {
-  pw_quar_change news = pwquar_answered(x->g->quarantine, x->fingerprint, now);
-  if (news != PWQUAR_UNCHANGED)
-    pwgate_log_suspect(x->g, x->fingerprint, news, "seen");
+  pw_quar_change change =
+      pwquar_answered(x->g->quarantine, x->fingerprint, now);
+  if (change != PWQUAR_UNCHANGED)
+    pwgate_log_suspect(x->g, x->fingerprint, change, "seen");
 }
 
 int pwexi_end_quarantined(pw_exchange *x, int64_t now) {
@@ -127,8 +128,8 @@
                PWEX_RETRY_NO_TARGET_MS);
 }
 
-/* The connection could not be made, so nothing was sent: another target is tried, unless
-** earlier attempts that may have run have used up the route's attempts. */
+/* Handles a connection that could not be made. Nothing was sent, so another target is tried, unless
+** earlier attempts that may have run have used up the attempts that the route allows. */
 static void handle_unreached(pw_exchange *x, int64_t now) {
   pwfleet_connect_failed(x->t, now);
   if (x->runs < x->route->attempts &&
@@ -182,7 +183,7 @@
 
 /* Retries a request elsewhere while there is time if its target is unresponsive. One that may not be
 ** retried waits for its time-out. */
-static void check_stall(pw_exchange *x, int64_t now) {
+static void retry_if_unresponsive(pw_exchange *x, int64_t now) {
   if (!x->u || !x->is_sent || x->is_paused ||
       !pwfleet_is_unresponsive(x->t, now) || !is_overdue(x, now) ||
       !may_retry_elsewhere(x, now) || !pwexi_may_repeat(x, now))
@@ -199,6 +200,6 @@
   for (pw_conn *c = g->callers.first, *next; c; c = next) {
     next = c->next;
     if (c->state && !pwexi_end_late(c->state, now))
-      check_stall(c->state, now);
+      retry_if_unresponsive(c->state, now);
   }
 }
--- a/packages/gateway/pwexint.h
+++ b/packages/gateway/pwexint.h
@@ -7,13 +7,13 @@
 #include "pwgate.h"
 #include "pwtrace.h"
 
-#define PWEX_TRIED_MAX 8
+#define PWEX_TRIED_MAX 8 /* most targets that one request is sent to */
 #define PWEX_BUFFER_MAX (4 * 1024 * 1024) /* bytes buffered of one answer */
 #define PWEX_EVENT_ID 64                  /* longest event id, in bytes */
 
-/* Slots are not short while more than this share of requests gets one: then
-** hardly any caller has to come back. */
-#define PWEX_CALM_SHARE 0.99
+/* Slots are not short while more than this share of requests gets one: hardly any caller has to
+** retry then. */
+#define PWEX_AMPLE_SHARE 0.99
 
 /* Default retry delays sent to callers, ms. */
 #define PWEX_RETRY_NO_TARGET_MS 700
@@ -27,7 +27,7 @@
   const pw_site_service *service;
   const pw_site_workspace *workspace; /* or NULL */
   pw_gate_service *service_state;
-  pw_request_info ask;
+  pw_request_info request_info;
   uint64_t fingerprint; /* hash of the request's content, without its id */
   int64_t arrived, deadline_at, timeout_at; /* ms */
   ev_timer timer;
@@ -61,9 +61,9 @@
   int ntried;
   int runs; /* targets that may have run the request */
   int hops; /* targets that proved that they did not run the request */
-  int connect_failures; /* connections that could not be made */
+  int connect_failures; /* attempts whose connection could not be made */
   int may_have_run;
-  int needs_new_conn; /* sent again to the same target, not over a pooled connection */
+  int needs_new_conn; /* the request is sent again to the same target, over a new connection */
 
   /* answer */
   pw_answer_info answer_info;
@@ -95,19 +95,19 @@
 /* Ms until the caller's deadline or the route's time-out, whichever is first. */
 int64_t pwexi_time_left(const pw_exchange *x);
 
-/* Ends the exchange with an error code, or by breaking off an answer that has begun. */
+/* Ends the exchange: pwexi_refuse answers with an error code, pwexi_abort resets the caller's connection, for
+** an answer that cannot be completed any more. */
 void pwexi_refuse(pw_exchange *x, pw_code code, const char *why,
                   int64_t retry_ms);
 void pwexi_abort(pw_exchange *x, const char *why);
 
-/* Ends a failed exchange by what is known of it: breaks off an answer that has begun, reports an unknown
-** outcome if the request may have run, and else refuses it with `code`, which promises that the request
-** did not run. */
+/* Ends a failed exchange: aborts an answer that has begun, reports an unknown outcome if the request may
+** have run, and else refuses the request with `code`, which promises that it did not run. */
 void pwexi_fail(pw_exchange *x, pw_code code, const char *why,
                 int64_t retry_ms);
 
-/* Ends an exchange whose time was over a while ago, as after the instance was suspended. Returns whether
-** the exchange was ended. */
+/* Ends an exchange whose timer should have fired a while ago, as after the instance was suspended. Returns
+** whether the exchange was ended. */
 int pwexi_end_late(pw_exchange *x, int64_t now);
 
 /* --- pwexsend.c --- */
@@ -145,8 +145,8 @@
 /* Releases the target and dispatches the request again. */
 void pwexi_retry(pw_exchange *x, const char *why, int may_have_run);
 
-/* Whether a request that may have run may go to another target: its route allows it
-** and the retry budget pays for it. */
+/* Whether a request that may have run may go to another target: its route allows it and the retry budget
+** has a retry left, which is spent. */
 int pwexi_may_repeat(pw_exchange *x, int64_t now);
 
 /* A failure after which the request may have run: retries it, or ends it. */
--- a/packages/gateway/pwexrecord.c
+++ b/packages/gateway/pwexrecord.c
@@ -33,7 +33,7 @@
          pwexi_target_ms(x, x->first_forwarded_at) > x->route->goal_ms;
 }
 
-/* Whether the target was in its cold start, in which every version is slow. */
+/* Whether the target was in its cold start when the request was sent: every version is slow then. */
 static int is_cold(const pw_exchange *x) {
   return x->t->cold.until > x->sent_at;
 }
--- a/packages/gateway/pwexsend.c
+++ b/packages/gateway/pwexsend.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 
 /* Longest idle time of a connection that is reused, ms. For requests that must not run twice it is
-** short: the target may have closed the connection, and then it is unknown whether it read the request. */
+** short: if the target has closed the connection, it is unknown whether it read the request. */
 #define IDLE_ONCE_MS 800
 #define IDLE_SAFE_MS 60000
 
@@ -27,7 +27,7 @@
                   .workspace = x->workspace ? x->workspace->name : NULL,
                   .deadline_ms = pwexi_time_left(x),
                   .urgency = -1,
-                  .last_event = x->ask.last_event,
+                  .last_event = x->request_info.last_event,
                   .fetch_from = x->holder && x->service->moves_kv
                                     ? x->holder->address
                                     : NULL};
@@ -57,34 +57,34 @@
 }
 
 /* Number of leading parts that a prompt may share with others; its last part is its own. */
-static int shared_part_count(const pw_request_info *ask) {
-  return ask->nparts > 1 ? ask->nparts - 1 : ask->nparts;
+static int shared_part_count(const pw_request_info *info) {
+  return info->nparts > 1 ? info->nparts - 1 : info->nparts;
 }
 
-static uint64_t prompt_key(const pw_request_info *ask) {
-  int n = shared_part_count(ask);
-  return n ? ask->part[n - 1].id : 0;
+static uint64_t prompt_key(const pw_request_info *info) {
+  int n = shared_part_count(info);
+  return n ? info->part[n - 1].id : 0;
 }
 
 /* Short hash of the target that has the longest known shorter prefix of the prompt cached; 0: none
 ** is known. */
-static uint32_t find_prefix(const pw_gate *g, const pw_request_info *ask,
-                            int64_t now, int64_t keep) {
-  for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
-    uint32_t at = pwaffinity_find(g->affinity, ask->part[i].id, now, keep);
+static uint32_t find_prefix(const pw_gate *g, const pw_request_info *info,
+                            int64_t now, int64_t keep_ms) {
+  for (int i = shared_part_count(info) - 2; i >= 0; i--) {
+    uint32_t at = pwaffinity_find(g->affinity, info->part[i].id, now, keep_ms);
     if (at)
       return at;
   }
   return 0;
 }
 
-/* Records that the target has all prefixes of the prompt cached. Other gateways are told only of a prefix
-** that had no known target, since any one target will do. */
-static void note_prefixes(pw_gate *g, const pw_request_info *ask,
-                          uint32_t target, int64_t now, int64_t keep) {
-  for (int i = shared_part_count(ask) - 2; i >= 0; i--) {
-    uint64_t key = ask->part[i].id;
-    if (!pwaffinity_find(g->affinity, key, now, keep))
+/* Records that the target has all prefixes of the prompt cached. Only prefixes that had no known target
+** are announced to other gateways, since one target is enough for a prefix. */
+static void note_prefixes(pw_gate *g, const pw_request_info *info,
+                          uint32_t target, int64_t now, int64_t keep_ms) {
+  for (int i = shared_part_count(info) - 2; i >= 0; i--) {
+    uint64_t key = info->part[i].id;
+    if (!pwaffinity_find(g->affinity, key, now, keep_ms))
       pwgossip_prompt_moved(g->gossip, key, target);
     pwaffinity_note(g->affinity, key, target, now);
   }
@@ -95,8 +95,8 @@
   return !x->has_begun && !x->may_have_run && x->ntried == 0;
 }
 
-/* Longest wait in the target's own queue, ms. 0 at an engine, whose queue ignores urgency. Half of the
-** goal at a plain service, whose requests are so short that reports of free slots come late. A
+/* Longest wait in the target's own queue, ms. It is 0 at an engine, whose queue ignores urgency, and half
+** of the goal at a plain service, whose requests are so short that reports of free slots come too late. A
 ** request that was tried before may use half of the time that it has left. */
 static double max_target_wait_ms(const pw_exchange *x) {
   if (!is_new(x) || x->route->goal_ms <= 0)
@@ -120,10 +120,10 @@
 static quota quota_of(const pw_exchange *x, int64_t now) {
   quota p = {.sum = pwfleet_sum(x->g->fleet, x->service->name, x->side, now)};
   double mine = pwshare_rate(&x->service_state->share, now);
-  double reserved = pwshed_reserve(&x->service_state->places, x->urgency,
-                                   x->is_deprioritized);
+  double reserved =
+      pwshed_reserve(&x->service_state->shed, x->urgency, x->is_deprioritized);
   if (!x->service->is_engine &&
-      p.sum.work_ms > 0) /* counts the targets' queues, too */
+      p.sum.work_ms > 0) /* add the requests that fit in the targets' queues */
     p.sum.slots *= 1 + max_target_wait_ms(x) / p.sum.work_ms;
   p.slots = pwshare_slots(mine, mine + x->service_state->others_rate,
                           p.sum.slots, p.sum.inflight + p.sum.others, reserved);
@@ -136,14 +136,14 @@
 }
 
 /* Whether the request is refused even if a target is free. Repeats to engines are not refused as
-** such, since they fill slots that come free: refusing them lowered the value of answers at six
+** such, since they fill slots that become free: refusing them lowered the value of answers at six
 ** times the load from 0.419 to 0.399. At a plain service the quota is one slot or less, of which none can
 ** be reserved: refusing repeats raised the value of answers at three times the load on 103 gateways
 ** from 0.63 to 0.77. */
 static int must_refuse(const pw_exchange *x, const quota *p) {
   int is_refused_repeat =
       x->is_deprioritized && !x->service->is_engine &&
-      !pwshed_may_retry(&x->service_state->places, pwgate_random(x->g));
+      !pwshed_may_retry(&x->service_state->shed, pwgate_random(x->g));
   return is_refused_repeat || is_quota_used(x, p);
 }
 
@@ -155,11 +155,11 @@
   return all > 0 && mine < CONNECTIONS_LEAST ? CONNECTIONS_LEAST : mine;
 }
 
-/* Whether to avoid targets that reject requests, because the retry budget is scarce. Not when slots are
-** short: then the requests that such targets do accept are needed more than retries. */
+/* Whether to avoid targets that reject requests, because the retry budget is scarce. When slots are short
+** such targets are not avoided: the requests that they accept matter more than retries. */
 static int avoids_rejections(const pw_exchange *x, int64_t now) {
   pw_gate *g = x->g;
-  return pwshed_admitted_share(&x->service_state->places) > PWEX_CALM_SHARE &&
+  return pwshed_admitted_share(&x->service_state->shed) > PWEX_AMPLE_SHARE &&
          pwretries_is_scarce(&x->service_state->retries,
                              pwlink_gateway_count(g->link), pwgate_random(g),
                              now);
@@ -169,30 +169,31 @@
 ** other gateways. */
 static pw_pick_bound bound_of(const pw_exchange *x, const quota *p) {
   double times = x->g->p->set->gateway_load_times;
-  double a_second =
+  double rate_per_target =
       p->sum.targets > 0 ? x->service_state->others_rate / p->sum.targets : 0;
   return (pw_pick_bound){PW_GW_BOUND_SHARE * times,
-                         pwpick_extra(a_second, p->sum.others_age_ms),
+                         pwpick_extra(rate_per_target, p->sum.others_age_ms),
                          PW_GW_BOUND_ALL_SHARE * times, PW_GW_BOUND_ALL_EXTRA};
 }
 
-/* Fills x->t (reference taken) and x->holder; 0: there is no target. */
+/* Picks a target: sets x->t, with a reference, and x->holder. Returns 0 if there is none. */
 static int pick(pw_exchange *x, const quota *p) {
   pw_gate *g = x->g;
   int64_t now = pwclock_ms();
-  int is_sticky = x->route->is_sticky && x->ask.nparts > 0;
-  uint64_t key = prompt_key(&x->ask);
-  int64_t keep = (int64_t)(g->p->set->gateway_keep * MS_PER_S);
-  pw_fleet_criteria ask = {
+  int is_sticky = x->route->is_sticky && x->request_info.nparts > 0;
+  uint64_t key = prompt_key(&x->request_info);
+  int64_t keep_ms = (int64_t)(g->p->set->gateway_keep * MS_PER_S);
+  pw_fleet_criteria criteria = {
       .service = x->service->name,
       .side = x->side,
-      .how = g->pick_how,
+      .how = g->pick_policy,
       .is_sticky = is_sticky,
       .key = key,
       .home_only = is_new(x) && x->service->is_engine,
       .last_target =
-          is_sticky ? pwaffinity_find(g->affinity, key, now, keep) : 0,
-      .prefix_target = is_sticky ? find_prefix(g, &x->ask, now, keep) : 0,
+          is_sticky ? pwaffinity_find(g->affinity, key, now, keep_ms) : 0,
+      .prefix_target =
+          is_sticky ? find_prefix(g, &x->request_info, now, keep_ms) : 0,
       .wait_ms = max_target_wait_ms(x),
       .draw = pwgate_random(g),
       .bound = bound_of(x, p),
@@ -202,16 +203,16 @@
       .save_retries = avoids_rejections(x, now),
       .tried = x->tried,
       .ntried = x->ntried};
-  pw_fleet_picked got = pwfleet_pick(g->fleet, &ask, now);
-  x->t = got.target;
-  x->holder = got.holder;
-  if (!got.target)
+  pw_fleet_picked picked = pwfleet_pick(g->fleet, &criteria, now);
+  x->t = picked.target;
+  x->holder = picked.holder;
+  if (!picked.target)
     return 0;
   if (is_sticky) {
-    pwaffinity_note(g->affinity, key, got.target->short_hash, now);
-    note_prefixes(g, &x->ask, got.target->short_hash, now, keep);
-    if (!got.is_home)
-      pwgossip_prompt_moved(g->gossip, key, got.target->short_hash);
+    pwaffinity_note(g->affinity, key, picked.target->short_hash, now);
+    note_prefixes(g, &x->request_info, picked.target->short_hash, now, keep_ms);
+    if (!picked.is_home)
+      pwgossip_prompt_moved(g->gossip, key, picked.target->short_hash);
   }
   return 1;
 }
@@ -224,18 +225,19 @@
       "no slot is free: urgency %d%s, %.0f%% of requests get one; in flight "
       "%.0f of %.1f here, %.0f of %.0f in all",
       x->urgency, x->is_deprioritized ? " (repeat)" : "",
-      100 * pwshed_admitted_share(&x->service_state->places), p->sum.inflight,
+      100 * pwshed_admitted_share(&x->service_state->shed), p->sum.inflight,
       p->slots, p->sum.inflight + p->sum.others, p->sum.slots);
   pwcount_add(x->g->p->counters, PWC_GW_FULL, 1);
-  /* Closes the connection so that the caller may come back at another gateway, unless that would lose
-  ** requests that it has pipelined behind this one. */
+  /* Closes the connection so that the caller's retry may reach another gateway, unless the close would lose
+  ** requests that the caller has pipelined behind this one. */
   x->caller->close_next = !pwconn_has_more(x->caller);
   pwexi_refuse(x, PW_E_BUSY, why,
                pwshed_retry_ms(pwexi_time_left(x), x->retry_known_ms,
                                pwgate_random(x->g)));
 }
 
-/* Refuses a request because no target is usable; the caller is told when the first one will be. */
+/* Refuses a request because no target is usable. If all have asked for a hold-off, the caller may retry
+** when the first hold-off ends. */
 static void refuse_no_target(pw_exchange *x, int64_t now) {
   int64_t left = pwfleet_held_off(x->g->fleet, x->service->name, now);
   if (left > 0)
@@ -252,12 +254,13 @@
     pwexi_observe(x, PWSTAGE_QUEUE, x->sent_at - x->arrived);
   pwexi_log(x, PWTRACE_ROUTINE, "placed",
             "target=%s load=%d+%d n=%d key=%llx fetch=%s", t->id, t->inflight,
-            t->others, x->ntried, (unsigned long long)prompt_key(&x->ask),
+            t->others, x->ntried,
+            (unsigned long long)prompt_key(&x->request_info),
             x->holder ? x->holder->id : "-");
   x->holder = NULL; /* no reference was taken */
 }
 
-/* Sends the request to a target that has a free slot; 0: there is none. */
+/* Sends the request to a target that has a free slot. Returns 0 if there is none. */
 static int dispatch_now(pw_exchange *x, const quota *p) {
   while (pwexi_time_left(x) > 0 && x->ntried < PWEX_TRIED_MAX && pick(x, p)) {
     x->needs_new_conn = 0;
@@ -282,7 +285,7 @@
     x->side = PWFLEET_OLD_VERSION;
 }
 
-/* Sends the request to a target of the chosen version if quota and slots allow it; 0: they do not. */
+/* Sends the request to a target of the chosen version. Returns 0 if quota or slots do not allow it. */
 static int try_side(pw_exchange *x, quota *p, int is_first_attempt,
                     int64_t now) {
   *p = quota_of(x, now);
@@ -304,7 +307,7 @@
     is_dispatched = try_side(x, &p, is_first_attempt, now);
   }
   if (is_first_attempt)
-    pwshed_note(&x->service_state->places, x->urgency, x->is_deprioritized,
+    pwshed_note(&x->service_state->shed, x->urgency, x->is_deprioritized,
                 is_dispatched, now);
   if (is_dispatched)
     return;
--- a/packages/gateway/pwgate.c
+++ b/packages/gateway/pwgate.c
@@ -22,14 +22,14 @@
          9007199254740992.0;
 }
 
-void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change news,
+void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change change,
                         const char *how) {
   pw_quarantine *q = g->quarantine;
   pwcount_set(g->p->counters, PWC_CRASHED_UNDER, pwquar_total(q));
   pwcount_set(g->p->counters, PWC_QUARANTINED, pwquar_count(q));
-  if (news == PWQUAR_BEGUN || news == PWQUAR_RELEASED)
+  if (change == PWQUAR_BEGUN || change == PWQUAR_RELEASED)
     pwtrace_line(g->trace, PWTRACE_STATE, pwclock_ms(),
-                 news == PWQUAR_BEGUN ? "quarantined" : "released",
+                 change == PWQUAR_BEGUN ? "quarantined" : "released",
                  "sign=%016llx ends=%d how=%s in_quarantine=%d",
                  (unsigned long long)fingerprint,
                  pwquar_crashes(q, fingerprint), how, pwquar_count(q));
@@ -40,13 +40,13 @@
   uint64_t fingerprint;
   while (t && (fingerprint = pwunresponsive_take(&g->unresponsive,
                                                  t->start_hash, now)) != 0) {
-    pw_quar_change news =
+    pw_quar_change change =
         pwquar_crashed(g->quarantine, fingerprint, t->start_hash, now);
     pwtrace_line(g->trace, PWTRACE_STATE, now, "ended-under",
                  "target=%s sign=%016llx dark=1 ends=%d", id,
                  (unsigned long long)fingerprint,
                  pwquar_crashes(g->quarantine, fingerprint));
-    pwgate_log_suspect(g, fingerprint, news, "seen");
+    pwgate_log_suspect(g, fingerprint, change, "seen");
   }
 }
 
--- a/packages/gateway/pwgate.h
+++ b/packages/gateway/pwgate.h
@@ -33,7 +33,7 @@
 typedef struct pw_gate_service {
   char name[PW_NAME_MAX];
   pw_retries retries;
-  pw_shed places;     /* admission by urgency */
+  pw_shed shed;       /* admission by urgency class */
   pw_share share;     /* request rate at this gateway */
   double others_rate; /* request rate at all other gateways, per second */
   pw_spike *spike;    /* load spikes of workspaces */
@@ -43,7 +43,7 @@
 /* Per-route state. */
 typedef struct pw_gate_route {
   char name[PW_NAME_MAX];
-  pw_timeouts baseline; /* of the deadlines that callers send */
+  pw_timeouts baseline; /* baseline of the deadlines that callers send */
   /* Smoothed answer time, or time per chunk of a stream. 0: unknown. */
   double answer_ms;
   UT_hash_handle hh;
@@ -56,7 +56,7 @@
   const pw_dialect *dialect;
   pw_site *site; /* configuration in force; NULL: none received yet */
   pw_fleet *fleet;
-  /* Which target has a prompt cached, by the id of its last shared part. */
+  /* The target that has a prompt cached, by the id of the last part that the prompt shares. */
   pw_affinity *affinity;
   pw_link *link;
   pw_gossip *gossip;
@@ -72,16 +72,17 @@
   pw_conns ready;   /* readiness checks by the platform */
   pw_conns metrics; /* the separate metrics address, if one is set */
   int nexchanges;
-  pw_exchange *awaiting; /* wait for a configuration, oldest first */
+  pw_exchange
+      *awaiting; /* requests that wait for a configuration, oldest first */
   int nawaiting;
   size_t awaiting_bytes; /* body bytes of the waiting requests */
   uint64_t random;
   int64_t started_at;
-  int64_t stop_at;         /* start of the planned stop, ms; 0: not stopping */
-  pw_pick_policy pick_how; /* how targets are picked */
+  int64_t stop_at; /* start of the planned stop, ms; 0: not stopping */
+  pw_pick_policy pick_policy; /* how targets are picked */
   int is_ready;
   int64_t ticked_at, swept_at, checked_at;
-  pw_buflimits hold; /* current buffer limits per caller and target */
+  pw_buflimits buf_limits; /* current buffer limits per caller and target */
   ev_timer tick;
   ev_prepare reap;
   void **to_free; /* memory to free at the next iteration of the event loop */
@@ -100,13 +101,13 @@
 /* Whether requests can be sent anywhere: a configuration and targets are known. */
 int pwgate_may_serve(pw_gate *g);
 
-/* Updates the counters and logs when a request enters or leaves quarantine. `how` is the
+/* Updates the quarantine counters, and logs when a request enters or leaves quarantine. `how` is the
 ** source of the change: "seen" here, "told" by another gateway, or "kept" by a control instance. */
-void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change news,
+void pwgate_log_suspect(pw_gate *g, uint64_t fingerprint, pw_quar_change change,
                         const char *how);
 
-/* Control reports a target silent or gone: the requests that it had when it became unresponsive
-** are counted as requests whose target crashed. */
+/* Handles a report of control that a target is silent or gone: requests that it had when it became
+** unresponsive are counted as requests whose target crashed. */
 void pwgate_note_silent(pw_gate *g, const char *id, int64_t now);
 
 /* Puts a newer configuration into force; drops one that is not newer. */
@@ -129,13 +130,13 @@
 /* Begins the requests that waited for a configuration. */
 void pwexchange_start_waiting(pw_gate *g);
 
-/* Ends requests whose time is over, and retries elsewhere those whose target is unresponsive. */
+/* Ends requests whose timers are overdue, and retries elsewhere those whose target is unresponsive. */
 void pwexchange_check(pw_gate *g, int64_t now);
 
 /* The caller has disconnected. */
 void pwexchange_abandon(void *exchange);
 
-/* Breaks off an unanswered request at the end of a planned stop. */
+/* Aborts an unanswered request at the end of a planned stop. */
 void pwexchange_stop(pw_exchange *x);
 
 /* Bytes buffered for the exchange, beside those of its caller's connection. */
@@ -144,7 +145,7 @@
 /* The caller has read all that was written to it. */
 void pwexchange_resume(void *exchange);
 
-/* Whether an answer belongs to an earlier request of the connection. Fills *told. */
+/* Whether an answer belongs to an earlier request of the connection. Fills *info. */
 int pwexchange_is_stale(const pw_exchange *x, const pw_h1 *m,
                         pw_answer_info *info);
 
--- a/packages/gateway/pwgatestate.c
+++ b/packages/gateway/pwgatestate.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define MS_PER_S 1000
-/* Most routes with state; nothing is learned of further ones. */
+/* Most routes that have state; further ones have no baselines. */
 #define ROUTES_MAX 1000
 
 pw_gate_service *pwgate_service(pw_gate *g, const char *name) {
@@ -19,7 +19,7 @@
   pwretries_init(&s->retries, set->gateway_retry_ratio,
                  set->gateway_retry_slack,
                  (int64_t)(set->gateway_retry_window * MS_PER_S));
-  pwshed_init(&s->places, pwclock_ms());
+  pwshed_init(&s->shed, pwclock_ms());
   s->spike = pwspike_new(pwclock_ms());
   s->next = g->services;
   g->services = s;
--- a/packages/gateway/pwgateway.c
+++ b/packages/gateway/pwgateway.c
@@ -17,22 +17,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+/* Interval of the periodic work, in s and in ms. */
 #define TICK_S 0.02
 #define TICK_MS 20
-#define STALL_MS 100 /* a longer loop iteration counts as a stall */
+
+#define STALL_MS 100 /* a longer loop iteration counts as a stall, ms */
 #define US_PER_MS 1000
-#define SWEEP_MS 250
-#define LAG_LOGGED_MS 100 /* smallest lag that is logged */
-#define CHECK_MS 100
+#define SWEEP_MS 250      /* interval of sweep, ms */
+#define LAG_LOGGED_MS 100 /* smallest lag that is logged, ms */
+#define CHECK_MS 100      /* interval of checks of buffers and requests, ms */
 #define MS_PER_S 1000
 #define BYTES_PER_MB (1024.0 * 1024)
-#define BUFFER_SHARE 0.5 /* of the process's memory, for buffers */
+#define BUFFER_SHARE 0.5 /* share of gateway.memory_mb for buffers */
 
 /* Share of the file descriptors for connections of callers. */
 #define CALLERS_SHARE 0.6
 
 /* A planned stop, ms. New callers are accepted for STOP_LISTEN_MS, at most half of the grace period: the
-** balancer checks readiness twice before it stops sending them. Unanswered requests are broken off
+** load balancer checks readiness twice before it stops sending them. Unanswered requests are aborted
 ** STOP_MARGIN_MS before the end of the grace period. */
 #define STOP_LISTEN_MS 2500
 #define STOP_MARGIN_MS 400
@@ -51,8 +53,8 @@
 
 /* --- readiness and metrics --- */
 
-/* Sets readiness, which only a planned stop ends: without control the gateway goes on serving with the
-** state that it has. */
+/* Marks the gateway ready once its state is current. Only a planned stop ends this: without control the
+** gateway continues to serve with the state that it has. */
 static void note_ready(pw_gate *g, int64_t now) {
   if (g->is_ready || !pwlink_is_current(g->link, now) || !pwgate_may_serve(g))
     return;
@@ -83,7 +85,7 @@
   pwbuf_free(&b);
 }
 
-static void handle_ready(pw_conn *c) {
+static void handle_status(pw_conn *c) {
   pw_gate *g = c->all->arg;
   if (pwconn_path_is(c, "/metrics"))
     answer_metrics(c);
@@ -133,7 +135,7 @@
   g->callers.handle = pwexchange_begin;
   g->callers.abandoned = pwexchange_abandon;
   g->callers.resume = pwexchange_resume;
-  g->ready.handle = g->metrics.handle = handle_ready;
+  g->ready.handle = g->metrics.handle = handle_status;
   if (set->metrics[0] &&
       listen_at(g, &g->metrics, "metrics", set->metrics, err) != 0)
     return -1;
@@ -164,7 +166,7 @@
   pwtrace_line(g->trace, PWTRACE_STATE, now, "stopping", "requests=%d",
                g->nexchanges);
   g->callers.is_stopping = g->ready.is_stopping = 1;
-  /* A later request on an idle connection could come after the stop. */
+  /* A further request on an idle connection could arrive after the stop. */
   pwconns_close_idle(&g->callers);
 }
 
@@ -196,16 +198,16 @@
   for (pw_conn *c = g->callers.first; c; c = c->next)
     if (c->state)
       buffered += pwexchange_buffered(c->state);
-  g->hold = pwbuflimits_of(buffered, buffer_budget(g));
-  g->callers.read_ahead_max = g->hold.ahead;
-  g->callers.body_room = g->hold.body;
-  g->callers.stall_ms = g->hold.stall_ms;
-  g->callers.stall_complete_ms = g->hold.stall_complete_ms;
+  g->buf_limits = pwbuflimits_of(buffered, buffer_budget(g));
+  g->callers.read_ahead_max = g->buf_limits.ahead;
+  g->callers.body_room = g->buf_limits.body;
+  g->callers.stall_ms = g->buf_limits.stall_ms;
+  g->callers.stall_complete_ms = g->buf_limits.stall_complete_ms;
   pwcount_set(g->p->counters, PWC_GW_BUFFERED, (int64_t)buffered);
   pwcount_set(g->p->counters, PWC_GW_STALLED, g->callers.nstalled);
 }
 
-/* Records the lag of the event loop, which has delayed all events that came meanwhile. */
+/* Records the lag of the event loop, by which all events in the meantime were delayed. */
 static void note_lag(pw_gate *g, int64_t now) {
   int64_t lag = g->ticked_at ? now - g->ticked_at - TICK_MS : 0;
   g->ticked_at = now;
@@ -215,14 +217,14 @@
                  (long long)lag);
 }
 
-/* Excuses targets for the time for which this process was stalled, so that they do not count as
+/* Discounts a stall of this process from the silence of targets, so that they do not count as
 ** unresponsive. */
 static void on_stall(void *arg, int64_t lost_ms) {
   pw_gate *g = arg;
   pwfleet_discount_stall(g->fleet, lost_ms);
 }
 
-/* Runs everything that decides by how long others have been silent. */
+/* Runs the work whose decisions depend on how long targets and other instances have been silent. */
 static void run_checks(pw_gate *g, int64_t now) {
   pwlink_tick(g->link, now);
   pwgossip_tick(g->gossip, now);
@@ -267,12 +269,12 @@
   pwconns_end(&g->metrics);
 }
 
-static pw_pick_policy pick_how_of(const char *place) {
-  if (!strcmp(place, "load"))
+static pw_pick_policy pick_policy_of(const char *name) {
+  if (!strcmp(name, "load"))
     return PWPICK_BY_LOAD;
-  if (!strcmp(place, "turn"))
+  if (!strcmp(name, "turn"))
     return PWPICK_BY_ROUND_ROBIN;
-  return !strcmp(place, "hash") ? PWPICK_BY_HASH : PWPICK_BY_HOME;
+  return !strcmp(name, "hash") ? PWPICK_BY_HASH : PWPICK_BY_HOME;
 }
 
 static void end_targets(pw_gate *g) {
@@ -283,7 +285,7 @@
 
 pw_code pwgateway_run(pw_proc *p, pw_buf *err) {
   pw_gate g = {.p = p, .dialect = p->dialect, .started_at = pwclock_ms()};
-  g.pick_how = pick_how_of(p->set->gateway_place);
+  g.pick_policy = pick_policy_of(p->set->gateway_place);
   pw_code rc = PW_E_SETTINGS;
   g.ev = ev_loop_new(EVFLAG_AUTO | EVFLAG_NOENV);
   if (!g.ev)
@@ -301,7 +303,7 @@
   g.stages = pwstage_new();
   g.quarantine = pwquar_new();
   g.versions = pwversions_new(&g);
-  g.hold = pwbuflimits_of(0, buffer_budget(&g));
+  g.buf_limits = pwbuflimits_of(0, buffer_budget(&g));
   g.fleet = pwfleet_new(p->set->availability_zone, p->set->gateway_beat,
                         (int64_t)(p->set->gateway_keep * MS_PER_S));
   pwfleet_trust_updates(g.fleet);
--- a/packages/gateway/pwgossip.c
+++ b/packages/gateway/pwgossip.c
@@ -1,5 +1,5 @@
-/* pwgossip.c: gateways send each other the number of requests that each has at every
-** target, so that all know the total load; many gateways do so in groups (pwsight).
+/* pwgossip.c: gateways send each other the number of requests that each has in flight at every
+** target, so that all know the total load; many gateways exchange them in groups (pwtopology).
 ** Each datagram replaces the one before, so a lost one does no harm. */
 #define _GNU_SOURCE
 #include "pwgate.h"
@@ -38,19 +38,21 @@
 struct pw_gossip {
   pw_gate *g;
   int fd;
-  peer *peers;            /* [0] is this gateway itself */
-  pw_topology_peer *view; /* of each peer, for the choice of aggregators */
+  peer *peers; /* peers[0] is this gateway itself */
+  pw_topology_peer
+      *topology; /* state of each peer, by which aggregators are chosen */
   int npeers;
   uint64_t seq;
   int64_t reported_at, summed_at;
-  /* Prompts to announce: to the aggregator of the group, or from one to the other
-  ** aggregators; and to the members of the group. */
+  /* Prompts to announce to the aggregator of the group; at an aggregator, to those of the other groups. */
   pw_gossip_prompts prompts_up;
+  /* Prompts to announce to the members of the group; used at an aggregator. */
   pw_gossip_prompts prompts_down;
-  pw_loads own;          /* as last reported */
-  pw_loads sum, all;     /* of the group, and of all gateways */
-  pw_loads fitted;       /* rows of the current message that fit into it */
-  pw_gossip_loads total; /* of all gateways, from the aggregator */
+  pw_loads own;      /* loads of this gateway, as last counted */
+  pw_loads sum, all; /* loads of the group, and of all gateways */
+  pw_loads fitted;   /* rows of the current message that fit into it */
+  pw_gossip_loads
+      total; /* loads of all gateways, as received from the aggregator */
   ev_io io;
 };
 
@@ -72,14 +74,14 @@
 
 /* Puts a peer at index `at` of the new lists, with its state if it is in the old ones. */
 static void move_peer(pw_gossip *s, const struct sockaddr_in *addr, peer *peers,
-                      pw_topology_peer *view, int at) {
+                      pw_topology_peer *topology, int at) {
   int old = find(s, addr);
-  view[at] = (pw_topology_peer){.hash = hash_of(addr), .is_self = at == 0};
+  topology[at] = (pw_topology_peer){.hash = hash_of(addr), .is_self = at == 0};
   peers[at].addr = *addr;
   if (old < 0)
     return;
   peers[at] = s->peers[old];
-  view[at] = s->view[old];
+  topology[at] = s->topology[old];
   s->peers[old] = (peer){0};
 }
 
@@ -89,23 +91,23 @@
     pwgossipmsg_free(&s->peers[i].sum);
   }
   free(s->peers);
-  free(s->view);
+  free(s->topology);
 }
 
 void pwgossip_set_peers(pw_gossip *s, char **address, size_t n) {
   peer *peers = pw_alloc(sizeof *peers * (n + 1));
-  pw_topology_peer *view = pw_alloc(sizeof *view * (n + 1));
+  pw_topology_peer *topology = pw_alloc(sizeof *topology * (n + 1));
   struct sockaddr_in self = s->peers[0].addr;
   int count = 1;
-  move_peer(s, &self, peers, view, 0);
+  move_peer(s, &self, peers, topology, 0);
   for (size_t i = 0; i < n; i++) {
     struct sockaddr_in addr;
     if (pwtcp_address(address[i], &addr) == 0 && !same_addr(&addr, &self))
-      move_peer(s, &addr, peers, view, count++);
+      move_peer(s, &addr, peers, topology, count++);
   }
   free_peers(s);
   s->peers = peers;
-  s->view = view;
+  s->topology = topology;
   s->npeers = count;
 }
 
@@ -202,8 +204,8 @@
                      fit_rows(s, loads), moved, send_datagram, &l);
 }
 
-/* Sends the requests whose targets crashed. Every instance forwards all that it knows, so that the
-** knowledge reaches every other one. */
+/* Sends the fingerprints of requests whose targets crashed. Every instance forwards all that it knows of,
+** so that they reach every other one. */
 static void send_suspects(pw_gossip *s, const int *to, int n, int64_t now) {
   pw_suspects suspects;
   receivers l = {s, to, n};
@@ -238,7 +240,7 @@
 
 static int aggregator_of(const pw_gossip *s, uint32_t groups, uint32_t group,
                          int64_t now) {
-  return pwtopology_aggregator(s->view, s->npeers, groups, group, now);
+  return pwtopology_aggregator(s->topology, s->npeers, groups, group, now);
 }
 
 static void report_loads(pw_gossip *s, int aggregator, int64_t now) {
@@ -249,8 +251,8 @@
   send_loads(s, PWGOSSIPMSG_REPORT, &s->own, &s->prompts_up, &aggregator, 1);
   send_suspects(s, &aggregator, 1, now);
   s->prompts_up.n = 0;
-  pwtopology_sent(&s->view[aggregator], now);
-  /* Without an answer of the aggregator only the own loads are known. */
+  pwtopology_sent(&s->topology[aggregator], now);
+  /* Without an answer of the aggregator only the loads of this gateway are known. */
   if (!is_fresh(&s->total, now)) {
     pwloads_clear(&s->all);
     add_all(&s->all, &s->own);
@@ -267,9 +269,9 @@
   return n;
 }
 
-/* Sends the sum of the group to the aggregators of the other groups; a gateway that got reports without
-** being the aggregator by its own view also sends it to the one that is. Fills `to` with the receivers;
-** returns their number. */
+/* Sends the sum of the group to the aggregators of the other groups. A gateway that has received reports
+** although it takes another one for the aggregator of its group sends the sum to that one, too. Fills `to`
+** with the receivers; returns their number. */
 static int send_group_sum(pw_gossip *s, uint32_t groups, uint32_t own_group,
                           int is_aggregator, int *to, int64_t now) {
   static const pw_gossip_prompts none = {.n = 0};
@@ -280,7 +282,7 @@
       continue;
     to[n++] = aggregator;
     if (is_aggregator)
-      pwtopology_sent(&s->view[aggregator], now);
+      pwtopology_sent(&s->topology[aggregator], now);
   }
   send_loads(s, PWGOSSIPMSG_SUM, &s->sum,
              is_aggregator ? &s->prompts_up : &none, to, n);
@@ -326,7 +328,7 @@
     exchange_direct(s, now);
     return;
   }
-  uint32_t group = pwtopology_group(s->view[0].hash, groups);
+  uint32_t group = pwtopology_group(s->topology[0].hash, groups);
   int aggregator = aggregator_of(s, groups, group, now);
   if (aggregator > 0)
     report_loads(s, aggregator, now);
@@ -360,8 +362,8 @@
   }
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change news) {
-  pwgate_log_suspect(arg, fingerprint, news, "told");
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change change) {
+  pwgate_log_suspect(arg, fingerprint, change, "told");
 }
 
 static void handle_message(pw_gossip *s, const struct sockaddr_in *from,
@@ -376,7 +378,7 @@
     return;
   }
   if (m->kind == PWGOSSIPMSG_TOTAL || m->kind == PWGOSSIPMSG_SUM)
-    pwtopology_answered(&s->view[i]);
+    pwtopology_answered(&s->topology[i]);
   if (m->kind == PWGOSSIPMSG_TOTAL)
     handle_total(s, m, now);
   else if (m->kind == PWGOSSIPMSG_SUM)
@@ -412,7 +414,7 @@
   struct sockaddr_in self;
   s->g = g;
   s->peers = pw_alloc(sizeof *s->peers);
-  s->view = pw_alloc(sizeof *s->view);
+  s->topology = pw_alloc(sizeof *s->topology);
   s->npeers = 1;
   s->fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (pwtcp_address(addr, &self) != 0 || s->fd < 0 ||
@@ -423,7 +425,7 @@
     return NULL;
   }
   s->peers[0].addr = self;
-  s->view[0] = (pw_topology_peer){.hash = hash_of(&self), .is_self = 1};
+  s->topology[0] = (pw_topology_peer){.hash = hash_of(&self), .is_self = 1};
   ev_io_init(&s->io, on_io, s->fd, EV_READ);
   s->io.data = s;
   ev_io_start(g->ev, &s->io);
--- a/packages/gateway/pwgossipmsg.c
+++ b/packages/gateway/pwgossipmsg.c
@@ -38,7 +38,8 @@
   }
   if (m->seq <= t->part[m->part].seq)
     return 0;
-  if (t->parts != parts) /* targets are distributed over the parts anew */
+  if (t->parts !=
+      parts) /* the distribution of targets over the parts has changed */
     clear_parts(t);
   t->parts = parts;
   t->at = now;
@@ -81,8 +82,8 @@
   }
 }
 
-/* Drops prompts, and then loads, until the message fits into a datagram. If the part were not sent
-** at all, the receivers would keep the outdated loads of its targets. */
+/* Drops prompts, and then loads, until the part fits into a datagram. If it were not sent at all, the
+** receivers would keep outdated loads of its targets. */
 static void trim_to_size(Pw__Gossip *m) {
   while (pw__gossip__get_packed_size(m) > PWGOSSIPMSG_BYTES) {
     if (m->n_keys > 0)
--- a/packages/gateway/pwgossipmsg.h
+++ b/packages/gateway/pwgossipmsg.h
@@ -23,7 +23,8 @@
   PWGOSSIPMSG_SUSPECTS /* no loads: requests whose targets crashed */
 } pw_gossip_kind;
 
-/* Prompts that were sent to a target other than their home, where other gateways would not look. */
+/* Prompts that were sent to a target other than their home target, where other gateways would not look for
+** them. */
 typedef struct pw_gossip_prompts {
   uint64_t key[PWGOSSIPMSG_PROMPTS_ALL];
   uint32_t to[PWGOSSIPMSG_PROMPTS_ALL];
@@ -45,7 +46,7 @@
   } part[PWGOSSIPMSG_PARTS];
 } pw_gossip_loads;
 
-/* Takes a datagram; 0: it is outdated or malformed. */
+/* Stores the loads of a datagram. Returns 0 if it is outdated or malformed. */
 int pwgossipmsg_take(pw_gossip_loads *t, const Pw__Gossip *m, int64_t now);
 
 /* Adds the received loads to *sum. */
--- a/packages/gateway/pwinflight.c
+++ b/packages/gateway/pwinflight.c
@@ -23,7 +23,7 @@
   return x->has_begun ? "answering" : "no-answer-yet";
 }
 
-/* A string of what a caller sent, "?" if that is not valid UTF-8. */
+/* A caller's text as a JSON string; "?" if it is not valid UTF-8. */
 static json_t *text_of(pw_span span) {
   json_t *text = json_stringn(span.p ? span.p : "", span.n);
   return text ? text : json_string("?");
@@ -34,11 +34,12 @@
   int64_t progress_at =
       x->forwarded_at > x->sent_at ? x->forwarded_at : x->sent_at;
   return json_pack(
-      "{s:o,s:s,s:s,s:s,s:s,s:I,s:I,s:I,s:I,s:i,s:I}", "id", text_of(x->ask.id),
-      "route", x->route ? x->route->name : "", "phase", phase_of(x), "target",
-      t ? t->id : "", "address", t ? t->address : "", "age_ms",
-      (json_int_t)(now - x->arrived), "left_ms", (json_int_t)pwexi_time_left(x),
-      "at_target_ms", (json_int_t)(t ? now - x->sent_at : 0), "quiet_ms",
+      "{s:o,s:s,s:s,s:s,s:s,s:I,s:I,s:I,s:I,s:i,s:I}", "id",
+      text_of(x->request_info.id), "route", x->route ? x->route->name : "",
+      "phase", phase_of(x), "target", t ? t->id : "", "address",
+      t ? t->address : "", "age_ms", (json_int_t)(now - x->arrived), "left_ms",
+      (json_int_t)pwexi_time_left(x), "at_target_ms",
+      (json_int_t)(t ? now - x->sent_at : 0), "quiet_ms",
       (json_int_t)(t ? now - progress_at : 0), "targets", x->ntried,
       "configuration", (json_int_t)(x->site ? pwsite_version(x->site) : 0));
 }
--- a/packages/gateway/pwlink.c
+++ b/packages/gateway/pwlink.c
@@ -1,5 +1,6 @@
-/* pwlink.c: a gateway's links to control instances, from which it learns of
-** configurations, targets and other gateways. It keeps links to all of them, and each sends what is new. */
+/* pwlink.c: a gateway's links to control instances, from which it receives
+** configurations, targets and the list of gateways. It keeps a link to each control instance, and each
+** sends changes. */
 #include "pwlinkint.h"
 
 #include "pwtable.h"
@@ -64,13 +65,13 @@
 ** with connections of gateways that use another primary. */
 static void dial_next(pw_link *l, int64_t now) {
   contact *best = NULL;
-  int heard = 0;
+  int has_answer = 0;
   for (contact *c = l->contacts; c; c = c->next) {
-    heard |= c->heard_at != 0;
+    has_answer |= c->received_at != 0;
     if (!c->dialled_at && (!best || pwlink_rank(l, c) > pwlink_rank(l, best)))
       best = c;
   }
-  if (!best || now - l->dialled_at < (heard ? DIAL_MS : DIAL_FIRST_MS))
+  if (!best || now - l->dialled_at < (has_answer ? DIAL_MS : DIAL_FIRST_MS))
     return;
   l->dialled_at = best->dialled_at = now;
   pwwire_dial(l->sock, best->addr, &best->peer);
@@ -97,7 +98,7 @@
 }
 
 int pwlink_is_fresh(const contact *c, int64_t now) {
-  return c->heard_at && now - c->heard_at <= MISSED_NOTICES * c->watch_ms;
+  return c->received_at && now - c->received_at <= MISSED_NOTICES * c->watch_ms;
 }
 
 /* Each gateway has an order of its own, so that gateways spread over the control instances. */
@@ -116,7 +117,7 @@
 } target_update;
 
 /* Applies the state of one target. A report that it is silent counts only from a control instance that
-** has contact with a leader: others may still hear the target. */
+** has contact with a leader: other control instances may still receive heartbeats of the target. */
 static void on_target_state(void *arg, const Pw__Beat *in) {
   const target_update *t = arg;
   pw_gate *g = t->l->g;
@@ -165,8 +166,8 @@
   pwbuf_free(&names);
 }
 
-static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change news) {
-  pwgate_log_suspect(arg, fingerprint, news, "kept");
+static void on_suspect(void *arg, uint64_t fingerprint, pw_quar_change change) {
+  pwgate_log_suspect(arg, fingerprint, change, "kept");
 }
 
 static void on_notice(pw_link *l, contact *c, const Pw__Notice *n,
@@ -204,7 +205,7 @@
     int64_t now = pwclock_ms();
     contact *c = contact_by_peer(l, &from);
     if (c)
-      c->heard_at = now;
+      c->received_at = now;
     if (c && e->body_case == PW__ENVELOPE__BODY_NOTICE)
       on_notice(l, c, e->notice, now);
     else if (e->body_case == PW__ENVELOPE__BODY_DOCUMENT)
@@ -218,7 +219,7 @@
 static void drop_silent(pw_link *l, int64_t now) {
   for (contact **at = &l->contacts; *at;) {
     contact *c = *at;
-    int64_t since = c->heard_at ? c->heard_at : c->known_at;
+    int64_t since = c->received_at ? c->received_at : c->known_at;
     if (c->is_seed || now - since < DROP_SILENT_MS) {
       at = &c->next;
       continue;
@@ -242,7 +243,7 @@
 
 /* Whether another primary must be chosen: the primary is silent, or has not sent its full list
 ** in time, or has had no contact with a leader for a while that `best` has. Right after an election
-** some instances hear of the leader a moment before others: if each gateway switched at once,
+** some instances have contact with it a moment before others: if each gateway switched at once,
 ** all would choose the first of them. */
 static int must_choose(pw_link *l, const contact *best, int64_t now) {
   const contact *p = l->primary;
@@ -293,8 +294,8 @@
   pwlink_send_watch(l, best, 0, now);
 }
 
-/* Interval of watch messages. It is shorter to the leader during a rollout, which the leader decides on
-** by the answer counts of gateways. */
+/* Interval of watch messages to a control instance. It is shorter to the leader during a rollout, since the
+** leader decides on the rollout by the answer counts in these messages. */
 static int64_t watch_interval_ms(const pw_link *l, const contact *c) {
   int is_awaited = c->leads && pwversions_is_running(l->g->versions);
   return is_awaited && c->watch_ms > ROLLOUT_WATCH_MS ? ROLLOUT_WATCH_MS
@@ -314,15 +315,15 @@
 }
 
 int pwlink_is_current(const pw_link *l, int64_t now) {
-  uint64_t held = pwdoc_version(l->doc);
+  uint64_t version = pwdoc_version(l->doc);
   int newer = 0, confirmed = 0;
-  if (!held || l->reading)
+  if (!version || l->reading)
     return 0;
   for (const contact *c = l->contacts; c; c = c->next) {
     if (!pwlink_is_fresh(c, now))
       continue;
-    newer |= c->config_version > held;
-    confirmed |= c->has_leader && c->config_version <= held;
+    newer |= c->config_version > version;
+    confirmed |= c->has_leader && c->config_version <= version;
   }
   if (newer)
     return 0;
--- a/packages/gateway/pwlinkint.h
+++ b/packages/gateway/pwlinkint.h
@@ -16,15 +16,15 @@
 typedef struct contact {
   char addr[PW_NAME_MAX];
   pw_peer peer;
-  int is_seed;
-  uint64_t config_version; /* as it last reported */
-  int has_leader;          /* it is the leader or hears from the leader */
-  int leads;
-  int64_t heard_at; /* 0: never */
-  int64_t watch_ms; /* interval at which it wants a watch message */
-  int64_t known_at;
-  int64_t watched_at; /* when a watch message was last sent to it */
-  int64_t dialled_at; /* 0: not dialled yet */
+  int is_seed;             /* its address is in the settings */
+  uint64_t config_version; /* newest version that it has reported */
+  int has_leader;          /* it is the leader or has contact with the leader */
+  int leads;               /* it is the leader */
+  int64_t received_at;     /* time of its last message; 0: none */
+  int64_t watch_ms;        /* interval of watch messages that it asks for */
+  int64_t known_at;        /* when its address became known */
+  int64_t watched_at;      /* when a watch message was last sent to it */
+  int64_t dialled_at;      /* 0: not dialled yet */
   struct contact *next;
 } contact;
 
@@ -34,9 +34,10 @@
   pw_sock *sock;
   pw_doc *doc;
   contact *contacts;
-  contact *primary;  /* the one that sends the full list of targets */
-  int has_full_list; /* received from the primary since it was chosen */
-  int64_t chosen_at;
+  contact
+      *primary; /* the control instance that sends the full list of targets */
+  int has_full_list;  /* received from the primary since it was chosen */
+  int64_t chosen_at;  /* when the primary was chosen */
   int64_t dialled_at; /* when any control instance was last dialled */
   /* Last time at which the primary had contact with a leader, or no other control
   ** instance had it. */
@@ -44,20 +45,23 @@
   int64_t best_primary_at; /* last time at which no better primary was known */
   int64_t full_wait_ms;    /* time that a primary has to send its full list */
   int64_t config_at;       /* when the newest configuration was received */
-  int64_t behind_at;       /* when a newer one was first reported; 0: none is */
-  int64_t requested_at; /* when a newer one was last requested, and from whom */
-  contact *requested_from;
+  int64_t
+      behind_at; /* when a newer configuration was first reported; 0: there is none */
+  int64_t requested_at;    /* when a newer configuration was last requested */
+  contact *requested_from; /* control instance of that request */
   pw_site_reader *reading; /* parser of a received document; NULL: none */
-  pw_site *base_site;      /* in force when reading began; reference held */
-  uint64_t read_version;
-  size_t read_bytes;
-  char relay_addr[PW_NAME_MAX]; /* gateway asked for it; "": none */
+  pw_site *
+      base_site; /* configuration in force when reading began, with a reference */
+  uint64_t read_version; /* version of the document last read */
+  size_t read_bytes;     /* its length */
+  char relay_addr
+      [PW_NAME_MAX]; /* gateway that the document was requested from; "": none */
   pw_relay *relay;
   int ngateways;
   pw_zmqev watcher;
 };
 
-/* Tells a control instance the version of the configuration held here; `want`: also requests a newer
+/* Sends a control instance the version of this gateway's configuration; `want`: also requests a newer
 ** one. */
 void pwlink_send_watch(pw_link *l, contact *c, int want, int64_t now);
 
@@ -72,7 +76,7 @@
 /* Requests a newer configuration if a control instance has reported one. */
 void pwconfsync_request(pw_link *l, int64_t now);
 
-/* Takes a received document, or asks the gateway that it refers to. */
+/* Applies a received document, or requests it from the gateway that the message refers to. */
 void pwconfsync_document(pw_link *l, const Pw__Document *d, int64_t now);
 
 /* Reads the next part of the received document. */
@@ -83,8 +87,8 @@
 
 /* --- pwrelay.c: forwarding the configuration to other gateways --- */
 
-/* Listens on gateway.relay, if that is set, and sends `doc` to gateways that ask. NULL: an error, with
-** the reason in *err. */
+/* Listens on gateway.relay, if that is set, and sends `doc` to gateways that request it. NULL: an
+** error, with the reason in *err. */
 pw_relay *pwrelay_new(pw_gate *g, const pw_doc *doc, pw_buf *err);
 void pwrelay_free(pw_relay *r);
 
--- a/packages/gateway/pwrelay.c
+++ b/packages/gateway/pwrelay.c
@@ -4,14 +4,14 @@
 #include <stdlib.h>
 
 struct pw_relay {
-  pw_sock *sock; /* NULL: no address is set, nothing is sent */
+  pw_sock *sock; /* NULL: no address is set, so nothing is sent */
   const pw_doc *doc;
-  pw_zmqev hear;
+  pw_zmqev watcher;
 };
 
 static void on_watch(pw_relay *r, const pw_peer *from, const Pw__Watch *m) {
   if (!m->want || pwdoc_version(r->doc) <= m->site)
-    return; /* nothing newer is held: the other gateway asks control again */
+    return; /* there is nothing newer here: the other gateway requests it from control again */
   Pw__Document d = *pwdoc_packed(r->doc, m->site);
   Pw__Envelope e = PW_ENVELOPE(DOCUMENT, document, &d);
   pwwire_send(r->sock, from, &e);
@@ -39,14 +39,14 @@
     free(r);
     return NULL;
   }
-  pwzmqev_start(&r->hear, g->ev, r->sock, read_messages, r);
+  pwzmqev_start(&r->watcher, g->ev, r->sock, read_messages, r);
   return r;
 }
 
 void pwrelay_free(pw_relay *r) {
   if (!r)
     return;
-  pwzmqev_stop(&r->hear);
+  pwzmqev_stop(&r->watcher);
   pwwire_close(r->sock);
   free(r);
 }
--- a/packages/gateway/pwupconn.c
+++ b/packages/gateway/pwupconn.c
@@ -7,11 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONNECT_MS 300       /* time to establish a connection */
-#define SILENT_MS 1500       /* lost if no data is acknowledged for this time */
-#define HEAD_MAX 65536       /* largest head of an answer, bytes */
-#define IDLE_DEFAULT_MS 4000 /* longest idle time if the target tells none */
-#define IDLE_MARGIN_MS 1000  /* closed this long before the target would */
+#define CONNECT_MS 300 /* longest time to establish a connection, ms */
+#define SILENT_MS                                                              \
+  1500 /* a connection is lost if no data is acknowledged for this time, ms */
+#define HEAD_MAX 65536 /* largest head of an answer, bytes */
+#define IDLE_DEFAULT_MS                                                        \
+  4000 /* longest idle time if the target announces none, ms */
+#define IDLE_MARGIN_MS                                                         \
+  1000 /* an idle connection is closed this long before the target would, ms */
 #define MS_PER_S 1000
 
 struct pw_upconn {
@@ -24,11 +27,11 @@
   int64_t dialled_at; /* ms of pwtcp_clock */
   pw_buf out;         /* to be written once connected */
   int is_up;
-  int was_reused;   /* the current request is not its first */
+  int was_reused; /* the current request is not the first on this connection */
   int has_received; /* bytes have come since the current request was sent */
   int is_stale; /* the answer of an earlier request, or a 1xx one, is skipped */
   int is_closed;
-  int64_t idle_ms; /* longest idle time, as the target has told */
+  int64_t idle_ms; /* longest idle time, as announced by the target, ms */
   int64_t idle_since;
   pw_upconn *next;
 };
@@ -97,8 +100,7 @@
     pwexchange_body(u->x, data, n);
 }
 
-/* Handles the head of an answer, which belongs to the current request or, come too
-** late, to an earlier one. */
+/* Handles the head of an answer. It belongs to the current request or, if it is late, to an earlier one. */
 static void on_head(pw_upconn *u) {
   pw_answer_info info;
   read_keep_alive(u);
@@ -190,8 +192,8 @@
 
 static const pw_tcp_callbacks calls = {on_connected, on_data, on_ended, NULL};
 
-/* Does not count time for which the event loop was stalled: the connection may have been established
-** meanwhile, and the target must not be taken for lost. */
+/* Fails a connection that was not established in time. Time for which the event loop was stalled does not
+** count: the connection may have been established meanwhile, and the target must not be taken for lost. */
 static void on_connect_timeout(struct ev_loop *ev, ev_timer *w, int events) {
   (void)ev;
   (void)events;
@@ -236,7 +238,8 @@
     return NULL;
   int64_t idle = now - u->idle_since;
   if (idle > max_idle_ms || idle > longest_idle(u)) {
-    close_conn(u, 0); /* the newest: all others were idle for longer */
+    close_conn(u,
+               0); /* this is the newest one: all others were idle for longer */
     return NULL;
   }
   t->idle = u->next;
--- a/packages/gateway/pwversions.c
+++ b/packages/gateway/pwversions.c
@@ -7,7 +7,7 @@
 /* Answer counts on one route. */
 typedef struct answers {
   char route[PW_NAME_MAX];
-  uint64_t good[2], bad[2]; /* of the old versions [0] and of the new one [1] */
+  uint64_t good[2], bad[2]; /* [0]: of the old versions, [1]: of the new one */
 } answers;
 
 typedef struct rollout {
@@ -19,7 +19,7 @@
 
 struct pw_versions {
   pw_gate *g;
-  uint64_t revision; /* of the list */
+  uint64_t revision; /* of the notice that the list is from */
   rollout *list;
   size_t n;
 };
@@ -126,11 +126,11 @@
       t->side == PWFLEET_ANY_VERSION)
     return;
   answers *one = route_of(r, route);
-  int to = t->side == PWFLEET_NEW_VERSION;
+  int is_new = t->side == PWFLEET_NEW_VERSION;
   if (is_bad)
-    one->bad[to]++;
+    one->bad[is_new]++;
   else
-    one->good[to]++;
+    one->good[is_new]++;
 }
 
 static size_t running_routes(const pw_versions *v) {
--- a/packages/gateway/pwversions.h
+++ b/packages/gateway/pwversions.h
@@ -1,5 +1,5 @@
-/* pwversions.h: rollouts of services to another version: takes their state from control and
-** counts the answers that control decides by. */
+/* pwversions.h: rollouts of services to another version: receives their state from control and counts
+** the answers by which control decides on them. */
 #ifndef PWVERSIONS_H
 #define PWVERSIONS_H
 
@@ -12,7 +12,7 @@
 pw_versions *pwversions_new(pw_gate *g);
 void pwversions_free(pw_versions *v);
 
-/* Takes the rollouts in a notice of a control instance; an outdated notice changes nothing. */
+/* Applies the rollouts in a notice of a control instance; an outdated notice changes nothing. */
 void pwversions_take(pw_versions *v, const Pw__Notice *n, int64_t now);
 
 /* Whether a rollout is running, so that control waits for answer counts. */
--- a/packages/net/pwconn.c
+++ b/packages/net/pwconn.c
@@ -13,7 +13,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Bytes read read_ahead while a request is in progress, before reading pauses. */
+/* Bytes read ahead while a request is in progress, before reading pauses. */
 #define READ_AHEAD_MAX (256 * 1024)
 
 /* Bytes of answers that wait for the caller; above that its next request is not started. */
--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -331,7 +331,7 @@
   CHECK(pwfleet_heartbeat(gateway, &b, 0, 3000) == PWFLEET_BACK);
   CHECK(pwfleet_usable(gateway, "s", 3000) == 1);
   pwfleet_free(gateway);
-  /* from a table with an older time: the target that was heard later keeps the address */
+  /* from a table with an older time: the target with the later heartbeat keeps the address */
   b = heartbeat("older", "10.0.0.1:80", 7, 0);
   pwfleet_heartbeat(f, &b, 0, 500);
   CHECK(pwfleet_find(f, "older")->is_gone && pwfleet_usable(f, "s", 5000) == 1);
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -241,7 +241,7 @@
   bed b;
   begin(&b);
   UNTIL(&b, watched_by_all(&b));
-  /* the first primary may just be the first one heard */
+  /* the first primary may be just the first one that answered */
   for (uint64_t site = 1; site <= 3; site++)
     send_all_notices(&b, site, NULL);
   control *first = primary(&b);
