--- a/packages/core/pwlag.c
+++ b/packages/core/pwlag.c
@@ -6,7 +6,7 @@
 #define CATCH_UP_MS 200
 
 /* Shortest time between two starts of catching up, ms. Without it a loop that stalls again and
-** again would always be catching up and never give a peer up. */
+** again would always be catching up and never count a peer as lost. */
 #define CATCH_UP_AGAIN_MS 1000
 
 int64_t pwlag_iteration(pw_lag *l, int64_t now) {
--- a/packages/core/pwlag.h
+++ b/packages/core/pwlag.h
@@ -1,6 +1,6 @@
 /* pwlag.h: detects stalls of an event loop: times in which the process did not run, or was busy,
 ** and read no input. Such time must not count as a peer's silence, and input that arrived in it
-** must be read before a peer is given up. Does no I/O, reads no clock. */
+** must be read before a peer counts as lost. This module does no I/O and reads no clock. */
 #ifndef PWLAG_H
 #define PWLAG_H
 
@@ -8,11 +8,10 @@
 
 /* Iterations of one event loop. The owner sets iteration_max_ms. */
 typedef struct pw_lag {
-  int64_t
-      iteration_max_ms; /* longest duration of an iteration without a stall */
+  int64_t iteration_max_ms; /* a longer iteration is a stall, ms */
   int64_t iteration_at; /* when the latest iteration began, ms; 0: none did */
-  int64_t
-      lost_ms; /* sum of the stalls: time of iterations beyond iteration_max_ms */
+  /* Sum of the stalls: time of iterations beyond iteration_max_ms. */
+  int64_t lost_ms;
   int64_t stall_end; /* end of the stall being caught up with; 0: none */
 } pw_lag;
 
--- a/packages/core/pwlimits.h
+++ b/packages/core/pwlimits.h
@@ -99,16 +99,16 @@
 #define PW_WIRE_CONNECT_MS 600
 
 /* Links between entry and agent (ms). A Run is sent only on a link with a message received within
-** LINK_FRESH. A silent link with requests on it is pinged after LINK_ASK and given up after
-** LINK_LOST. A new link must answer within LINK_OPEN. */
+** PW_LINK_FRESH. A silent link with requests on it is pinged after PW_LINK_PING and counts as lost after
+** PW_LINK_LOST. The peer of a new link must answer within PW_LINK_OPEN. */
 #define PW_LINK_FRESH 2000
 #define PW_LINK_PING 500
 #define PW_LINK_LOST 3000
 #define PW_LINK_OPEN 600
 
-/* The distribution tree (ms). A child that sent nothing for CHILD_KEEP no longer counts: its
-** stale_ms is shorter, so it has cut itself off by then. A parent that sends nothing for
-** PARENT_LOST is replaced by the next one. */
+/* The distribution tree (ms). A child that sent nothing for PW_CHILD_KEEP is removed: its stale_ms is
+** shorter, so the child counts itself as cut off by then. A parent that sends nothing for PW_PARENT_LOST is
+** replaced by the next one. */
 #define PW_CHILD_KEEP 15000
 #define PW_PARENT_LOST 1500
 
@@ -134,8 +134,8 @@
 ** of others a little late. */
 #define PW_GW_BOUND_SHARE 0.8
 
-/* The same bound against the mean load of all live targets, with those of evacuated availability
-** zones, which are idle: its share and its additional requests. */
+/* The same bound, with the mean load taken over all live targets, including the idle ones of evacuated
+** availability zones: share of the bound, and number of additional requests. */
 #define PW_GW_BOUND_ALL_SHARE 0.95
 #define PW_GW_BOUND_ALL_EXTRA 3.0
 
--- a/packages/core/pwtrace.c
+++ b/packages/core/pwtrace.c
@@ -25,7 +25,7 @@
   int fd;
   double rate; /* budget, bytes per second */
   double left; /* bytes that may be written now */
-  int64_t at;  /* when `left` was last refilled */
+  int64_t at;  /* when `left` was last refilled, ms */
   pw_buf out;
   size_t out_at;              /* bytes of `out` already written */
   uint64_t dropped, reported; /* lines dropped, and reported as dropped */
@@ -85,8 +85,8 @@
 static int has_room(const pw_trace *t, pw_trace_kind kind) {
   if (t->out.len - t->out_at + 2 * LINE_BYTES > PENDING_BYTES)
     return 0;
-  double keep = kind == PWTRACE_ROUTINE ? t->rate * (1 - ROUTINE_SHARE) : 0;
-  return t->left - LINE_BYTES > keep;
+  double reserved = kind == PWTRACE_ROUTINE ? t->rate * (1 - ROUTINE_SHARE) : 0;
+  return t->left - LINE_BYTES > reserved;
 }
 
 void pwtrace_line(pw_trace *t, pw_trace_kind kind, int64_t now,
--- a/packages/gateway/pwgate.h
+++ b/packages/gateway/pwgate.h
@@ -72,8 +72,8 @@
   pw_conns ready;   /* readiness checks by the platform */
   pw_conns metrics; /* the separate metrics address, if one is set */
   int nexchanges;
-  pw_exchange
-      *awaiting; /* requests that wait for a configuration, oldest first */
+  /* Requests that wait for a configuration, oldest first. */
+  pw_exchange *awaiting;
   int nawaiting;
   size_t awaiting_bytes; /* body bytes of the waiting requests */
   uint64_t random;
--- a/packages/gateway/pwgossip.c
+++ b/packages/gateway/pwgossip.c
@@ -38,9 +38,8 @@
 struct pw_gossip {
   pw_gate *g;
   int fd;
-  peer *peers; /* peers[0] is this gateway itself */
-  pw_topology_peer
-      *topology; /* state of each peer, by which aggregators are chosen */
+  peer *peers;                /* peers[0] is this gateway itself */
+  pw_topology_peer *topology; /* of each peer, to choose aggregators by */
   int npeers;
   uint64_t seq;
   int64_t reported_at, summed_at;
@@ -51,8 +50,8 @@
   pw_loads own;      /* loads of this gateway, as last counted */
   pw_loads sum, all; /* loads of the group, and of all gateways */
   pw_loads fitted;   /* rows of the current message that fit into it */
-  pw_gossip_loads
-      total; /* loads of all gateways, as received from the aggregator */
+  /* Loads of all gateways, as received from the aggregator. */
+  pw_gossip_loads total;
   ev_io io;
 };
 
--- a/packages/gateway/pwgossipmsg.c
+++ b/packages/gateway/pwgossipmsg.c
@@ -38,8 +38,7 @@
   }
   if (m->seq <= t->part[m->part].seq)
     return 0;
-  if (t->parts !=
-      parts) /* the distribution of targets over the parts has changed */
+  if (t->parts != parts) /* targets are distributed over the parts anew */
     clear_parts(t);
   t->parts = parts;
   t->at = now;
--- a/packages/gateway/pwlinkint.h
+++ b/packages/gateway/pwlinkint.h
@@ -17,7 +17,7 @@
   char addr[PW_NAME_MAX];
   pw_peer peer;
   int is_seed;             /* its address is in the settings */
-  uint64_t config_version; /* newest version that it has reported */
+  uint64_t config_version; /* version that it last reported */
   int has_leader;          /* it is the leader or has contact with the leader */
   int leads;               /* it is the leader */
   int64_t received_at;     /* time of its last message; 0: none */
@@ -34,8 +34,7 @@
   pw_sock *sock;
   pw_doc *doc;
   contact *contacts;
-  contact
-      *primary; /* the control instance that sends the full list of targets */
+  contact *primary;   /* it sends the full list of targets */
   int has_full_list;  /* received from the primary since it was chosen */
   int64_t chosen_at;  /* when the primary was chosen */
   int64_t dialled_at; /* when any control instance was last dialled */
@@ -45,17 +44,17 @@
   int64_t best_primary_at; /* last time at which no better primary was known */
   int64_t full_wait_ms;    /* time that a primary has to send its full list */
   int64_t config_at;       /* when the newest configuration was received */
-  int64_t
-      behind_at; /* when a newer configuration was first reported; 0: there is none */
+  /* When a newer configuration was first reported; 0: there is none. */
+  int64_t behind_at;
   int64_t requested_at;    /* when a newer configuration was last requested */
   contact *requested_from; /* control instance of that request */
   pw_site_reader *reading; /* parser of a received document; NULL: none */
-  pw_site *
-      base_site; /* configuration in force when reading began, with a reference */
+  /* Configuration in force when reading began; a reference is held. */
+  pw_site *base_site;
   uint64_t read_version; /* version of the document last read */
-  size_t read_bytes;     /* its length */
-  char relay_addr
-      [PW_NAME_MAX]; /* gateway that the document was requested from; "": none */
+  size_t read_bytes;     /* length of that document */
+  /* Address of the gateway that the document was requested from; "": none. */
+  char relay_addr[PW_NAME_MAX];
   pw_relay *relay;
   int ngateways;
   pw_zmqev watcher;
--- a/packages/gateway/pwupconn.c
+++ b/packages/gateway/pwupconn.c
@@ -8,13 +8,15 @@
 #include <string.h>
 
 #define CONNECT_MS 300 /* longest time to establish a connection, ms */
-#define SILENT_MS                                                              \
-  1500 /* a connection is lost if no data is acknowledged for this time, ms */
+#define SILENT_MS 1500 /* longest time without an acknowledgement, ms */
 #define HEAD_MAX 65536 /* largest head of an answer, bytes */
-#define IDLE_DEFAULT_MS                                                        \
-  4000 /* longest idle time if the target announces none, ms */
-#define IDLE_MARGIN_MS                                                         \
-  1000 /* an idle connection is closed this long before the target would, ms */
+
+/* Longest idle time of a connection if the target announces none, ms. */
+#define IDLE_DEFAULT_MS 4000
+
+/* An idle connection is closed this long before the target would close it, ms. */
+#define IDLE_MARGIN_MS 1000
+
 #define MS_PER_S 1000
 
 struct pw_upconn {
@@ -238,8 +240,7 @@
     return NULL;
   int64_t idle = now - u->idle_since;
   if (idle > max_idle_ms || idle > longest_idle(u)) {
-    close_conn(u,
-               0); /* this is the newest one: all others were idle for longer */
+    close_conn(u, 0); /* the newest one: all others were idle for longer */
     return NULL;
   }
   t->idle = u->next;
--- a/packages/http/pwfetch.h
+++ b/packages/http/pwfetch.h
@@ -31,7 +31,7 @@
   int timeout; /* s without receiving a byte */
   void *arg;
 
-  /* The status and headers have arrived; a piece of the body has arrived. Each returns 0 to go on,
+  /* The status and headers have arrived; a piece of the body has arrived. Each returns 0 to continue,
   ** -1 to abort the call. */
   int (*on_head)(void *arg, int status, const pw_fetch_head *h);
   int (*on_data)(void *arg, const char *data, size_t n);
--- a/packages/http/pwserve.c
+++ b/packages/http/pwserve.c
@@ -52,7 +52,7 @@
   atomic_int active;
 };
 
-/* What the handler did with a request by the time it returned. */
+/* State in which the handler has left a request. */
 typedef enum step { NOT_ANSWERED, WAITS, REPLIED, STREAMS } step;
 
 struct pw_http {
--- a/packages/http/pwserve.h
+++ b/packages/http/pwserve.h
@@ -37,10 +37,10 @@
 ** with a reason in `err` and the old keys still in use. */
 int pwserve_reload_keys(pw_server *s, pw_buf *err);
 
-/* Stops listening; requests in progress go on. */
+/* Stops listening; requests in progress continue. */
 void pwserve_quiesce(pw_server *s);
 
-/* Requests in progress. */
+/* Number of requests in progress. */
 int pwserve_active(const pw_server *s);
 
 void pwserve_stop(pw_server *s);
--- a/packages/net/pwconn.c
+++ b/packages/net/pwconn.c
@@ -24,8 +24,8 @@
 #define MS_PER_S 1000.0
 
 /* To make room, one in so many idle connections is closed at a time. Each one closed costs its
-** caller a reconnect, so the share is small; but finding the longest idle visits all of them, so it
-** is more than one. */
+** caller a reconnect, so the share is small; but each search for the longest idle visits all of them, so
+** more than one is closed. */
 #define IDLE_CLOSE_FRACTION 8
 
 /* Retry interval of accept when no idle connection can be closed, ms. Another part of the process
@@ -39,7 +39,8 @@
 
 /* --- closing --- */
 
-/* Accepting stops while the listener is full; callers then wait in the kernel's backlog. */
+/* Accepts callers again. Accepting stops while the listener is full; callers wait in the kernel's backlog
+** then. */
 static void resume_accepting(pw_conns *s) {
   if (s->listening.fd >= 0 && !ev_is_active(&s->listening))
     ev_io_start(s->tcp->ev, &s->listening);
@@ -204,7 +205,8 @@
 
 /* --- requests --- */
 
-/* For a request that is malformed or incomplete. No handler has seen it, so it has not run. */
+/* Refuses a request that is malformed or incomplete, and closes the connection. No handler has seen the
+** request, so it has not run. */
 static void refuse_and_close(pw_conn *c, pw_code code, const char *message) {
   c->close_next = 1;
   refuse(c, code, message, "Peatwell-Outcome: not-run\r\n");
@@ -221,7 +223,7 @@
   return s->body_room && s->body_room < max ? s->body_room : max;
 }
 
-/* The body is longer than allowed, or than the memory available now. */
+/* Refuses a body that is longer than allowed, or than the memory available now. */
 static void refuse_body(pw_conn *c, uint64_t length) {
   if (length > c->all->limits.body_bytes)
     refuse_and_close(c, PW_E_TOO_LARGE, "the request body is over its limit");
@@ -359,8 +361,8 @@
 
 /* --- listening --- */
 
-/* No request is in progress or partly received. Unread bytes count as a request: after a stall of
-** the process one may wait in the socket. */
+/* Whether no request is in progress or partly received. Unread bytes count as a request: after a stall of
+** the process a request may wait in the socket. */
 static int is_idle(const pw_conn *c) {
   return !c->is_busy && c->request.state == PWH1_HEAD &&
          c->request.head.len == 0 && !pwtcp_has_unread(c->tcp);
@@ -515,12 +517,14 @@
 
 /* --- idle connections and slow requests --- */
 
-/* The caller has not read its answer yet; if it reads nothing, pwconns_close_stalled resets it. */
+/* Whether the caller has not read all of its answer yet. If it reads nothing, pwconns_close_stalled resets
+** the connection. */
 static int has_pending_answer(const pw_conn *c) {
   return c->all->stall_complete_ms && pwtcp_pending(c->tcp) > 0;
 }
 
-/* `now` is of pwtcp_clock: time in which the loop stalled does not count against a caller. */
+/* Closes a connection that was idle for too long, or refuses a request that arrives too slowly. `now` is a
+** time of pwtcp_clock: time in which the loop stalled does not count against a caller. */
 static void check_expiry(pw_conn *c, int64_t now) {
   const pw_conn_limits *l = &c->all->limits;
   if (c->is_busy)
@@ -540,7 +544,7 @@
 
 /* --- callers that do not read --- */
 
-/* Whether the caller has read nothing for too long; `now` is of pwtcp_clock. */
+/* Whether the caller has read nothing for too long; `now` is a time of pwtcp_clock. */
 static int has_stalled(pw_conn *c, int64_t now) {
   uint64_t written = pwtcp_written(c->tcp);
   if (pwtcp_pending(c->tcp) == 0 || written != c->written || !c->progress_at) {
--- a/packages/net/pwconn.h
+++ b/packages/net/pwconn.h
@@ -20,7 +20,7 @@
   int64_t idle_ms;
 } pw_conn_limits;
 
-/* The connections of one listener. The owner fills in the first part before pwconns_start. */
+/* The connections of one listener. The owner sets the fields up to `resume` before pwconns_start. */
 typedef struct pw_conns {
   pw_tcp_loop *tcp;
   pw_conn_limits limits;
@@ -28,14 +28,14 @@
   size_t read_ahead_max; /* bytes read ahead during a request; 0: a default */
   size_t body_room; /* longest body that memory allows now; 0: no such limit */
 
-  /* A connection whose caller reads nothing for so long is reset, ms; 0: never. The first holds
-  ** during a request, the second when only complete answers are left to read. */
+  /* A connection whose caller reads nothing for so long during a request is reset, ms; 0: never. */
   int64_t stall_ms;
+  /* The same limit when only complete answers are left to read, ms; 0: never. */
   int64_t stall_complete_ms;
   int send_bytes; /* kernel send buffer of a connection; 0: the system's default */
-  const pw_tls_keys *keys;          /* callers use TLS; NULL: plain TCP */
-  void *arg;                        /* for the owner */
-  void (*handle)(pw_conn *c);       /* a complete request has arrived */
+  const pw_tls_keys *keys;    /* keys for TLS with callers; NULL: plain TCP */
+  void *arg;                  /* data of the owner */
+  void (*handle)(pw_conn *c); /* a complete request has arrived */
   void (*abandoned)(void *request); /* the caller disconnected; may be NULL */
   void (*resume)(void *request); /* all output has been written; may be NULL */
 
@@ -65,8 +65,8 @@
   void *state;     /* the handler's state of this request; NULL: none */
   int is_busy;     /* a request is in progress */
   int is_parsing;  /* a block of received bytes is being parsed */
-  int is_closed;   /* freed in the next iteration of the event loop */
-  int close_next;  /* the answer closes the connection */
+  int is_closed; /* the connection is freed in the next iteration of the event loop */
+  int close_next;   /* the answer closes the connection */
   int is_throttled; /* the next request waits until the caller has read more */
   size_t body_max;  /* limit of the body being received, bytes */
   uint64_t written; /* pwtcp_written when progress was last seen */
--- a/packages/net/pwtcp.h
+++ b/packages/net/pwtcp.h
@@ -36,8 +36,8 @@
   struct ev_loop *ev;
   ev_prepare reap;
   ev_check iteration; /* runs first in each iteration */
-  pw_lag
-      lag; /* the owner needs a timer that fires within lag.iteration_max_ms */
+  /* Detects stalls. The owner needs a timer that fires within lag.iteration_max_ms. */
+  pw_lag lag;
 
   /* The loop stalled for lost_ms; called before any other event. May be NULL. */
   void (*on_stall)(void *arg, int64_t lost_ms);
--- a/packages/net/pwtls.h
+++ b/packages/net/pwtls.h
@@ -10,7 +10,7 @@
 typedef struct pw_tls_keys pw_tls_keys;
 
 /* Loads a certificate and its key from PEM files; NULL when they cannot be read or do not match.
-** Each connection holds a reference, so the keys may be released while connections go on. */
+** Each connection holds a reference, so the keys may be released while connections still use them. */
 pw_tls_keys *pwtls_keys(const char *cert, const char *key);
 void pwtls_keys_release(pw_tls_keys *k);
 
--- a/packages/site/pwdialect.h
+++ b/packages/site/pwdialect.h
@@ -22,7 +22,7 @@
   uint32_t tokens;
 } pw_prompt_part;
 
-/* What the headers of a caller's request say. Spans point into the request's head. */
+/* Information in the headers of a caller's request. Spans point into the request's head. */
 typedef struct pw_request_info {
   pw_span id;
   pw_span host;
@@ -36,18 +36,18 @@
   int nparts;
 } pw_request_info;
 
-/* What a gateway adds to a request that it forwards. */
+/* Information that a gateway adds to a request that it forwards. */
 typedef struct pw_forward {
   const char *target; /* id of the target; any other must refuse the request */
   const char *workspace; /* name, or NULL */
   int64_t deadline_ms;   /* time left */
   int urgency;        /* urgency class, 0 (most urgent) to 9; -1: not given */
   pw_span last_event; /* the stream resumes after this event */
-  const char
-      *fetch_from; /* address of a target that holds the prompt, or NULL */
+  /* Address of a target that has the prompt cached, or NULL. */
+  const char *fetch_from;
 } pw_forward;
 
-/* What the headers of a target's answer say. */
+/* Information in the headers of a target's answer. */
 typedef struct pw_answer_info {
   int id_matches;      /* it carries the id of the request */
   int not_run;         /* the request has not run there and will not */
@@ -119,7 +119,7 @@
   /* Appends the header lines of *f. */
   void (*write_forward)(pw_buf *out, const pw_forward *f);
 
-  void (*read_answer)(const pw_h1 *m, const pw_request_info *ask,
+  void (*read_answer)(const pw_h1 *m, const pw_request_info *request,
                       pw_answer_info *out);
 
   /* Kind of a call; id[PW_NAME_MAX] receives the target or availability zone that it names. */
@@ -129,7 +129,7 @@
   pw_code (*read_site)(const char *text, size_t n, pw_site **out, char *why,
                        size_t cap);
 
-  /* The same in steps, so that the event loop can serve requests in between. Routes unchanged
+  /* Begins to parse a document in steps, so that the event loop can serve requests in between. Routes unchanged
   ** since `before` (or NULL) are copied from it and not parsed again; it must stay valid. `text` is
   ** copied. */
   pw_site_reader *(*begin_site)(const char *text, size_t n,
@@ -145,7 +145,7 @@
   pw_code (*read_heartbeat)(const char *id, const char *text, size_t n,
                             pw_heartbeat *out, char *why, size_t cap);
 
-  /* The same for the body of a target's deregistration, which may be empty. */
+  /* Parses the body of a target's deregistration, which may be empty; errors as with read_heartbeat. */
   pw_code (*read_leave)(const char *id, const char *text, size_t n,
                         pw_heartbeat *out, char *why, size_t cap);
 
--- a/packages/site/pwsite.h
+++ b/packages/site/pwsite.h
@@ -12,8 +12,8 @@
 
 /* Whether a request that may have run may be repeated. */
 typedef enum pw_site_kind {
-  PWSITE_SAFE, /* it may run again */
-  PWSITE_ONCE  /* it runs at most once per request id of the caller */
+  PWSITE_SAFE, /* a request may run again */
+  PWSITE_ONCE  /* a request runs at most once per request id of the caller */
 } pw_site_kind;
 
 typedef struct pw_site_service {
@@ -55,12 +55,12 @@
   int attempts;  /* targets that one request may be sent to */
   int64_t timeout_ms;
 
-  /* Latency goals: time to the first piece and between pieces. A slower answer is worth less. */
-  int64_t goal_ms;
-  int64_t pause_ms;
+  /* Latency goals: an answer that is slower is worth less to its caller. */
+  int64_t goal_ms;  /* time to the first piece of an answer */
+  int64_t pause_ms; /* time between pieces */
   pw_site_weighted weighted[PWSITE_WEIGHTED];
   int nweighted;
-  double weight; /* sum of their weights */
+  double weight; /* sum of the weights in `weighted` */
 } pw_site_route;
 
 typedef struct pw_site_workspace {
--- a/tests/test_lag.c
+++ b/tests/test_lag.c
@@ -61,8 +61,8 @@
   CHECK(pwlag_catch_up(&l, 9000) == left);
 }
 
-/* A loop that stalls all the time catches up for a part of the time only; else it would never give
-** a peer up. */
+/* A loop that stalls all the time catches up for a part of the time only; else it would never
+** count a peer as lost. */
 static void test_always_stalled(void) {
   pw_lag l = {.iteration_max_ms = ITERATION_MS};
   int catching = 0, turns = 0;
