--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -280,19 +280,20 @@
   pw_target *t = pwfleet_find(f, "a");
   pwfleet_failed(t, 10);
   pwfleet_failed(t, 10);
-  pw_fleet_criteria ask = {.service = "s", .wait_ms = 100, .bound = {2, 2}};
-  pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
-  CHECK(got.target == t);
-  pwfleet_release(got.target);
+  pw_fleet_criteria criteria = {
+      .service = "s", .wait_ms = 100, .bound = {2, 2}};
+  pw_fleet_picked picked = pwfleet_pick(f, &criteria, 20);
+  CHECK(picked.target == t);
+  pwfleet_release(picked.target);
   b = heartbeat("a", "10.0.0.1:80", 2, 1);
   pwfleet_heartbeat(f, &b, 0, 30);
-  CHECK(pwfleet_pick(f, &ask, 40).target == NULL);
+  CHECK(pwfleet_pick(f, &criteria, 40).target == NULL);
   pwfleet_free(f);
 }
 
 /* A delayed heartbeat of a target that has crashed meanwhile arrives where that target is unknown, and
-** takes over the address of the target that runs there now. That one comes back with its own next
-** heartbeats, and a single delayed heartbeat does not bring the crashed one back. */
+** takes over the address of the target that runs there now. The latter regains the address with its own next
+** heartbeats, and a single delayed heartbeat does not give the address back to the crashed one. */
 static void test_late_heartbeat(void) {
   pw_fleet *f = pwfleet_new("az", 1000, 1000);
   pw_heartbeat b = heartbeat("new", "10.0.0.1:80", 1, 0);
@@ -372,17 +373,17 @@
     pw_target *least_loaded = pwfleet_find(f, "t0");
     int to_least_loaded = 0;
     for (int i = 0; i < PICKS; i++) {
-      pw_fleet_criteria ask = {.service = "s",
-                               .wait_ms = 1000,
-                               .is_sticky = is_sticky,
-                               .home_only = 1, /* has no effect here */
-                               .key = pwrand(&r),
-                               .how = PWPICK_BY_LOAD,
-                               .draw = pwrand_unit(&r),
-                               .bound = {2, 2}};
-      pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
-      to_least_loaded += got.target == least_loaded;
-      pwfleet_release(got.target);
+      pw_fleet_criteria criteria = {.service = "s",
+                                    .wait_ms = 1000,
+                                    .is_sticky = is_sticky,
+                                    .home_only = 1, /* has no effect here */
+                                    .key = pwrand(&r),
+                                    .how = PWPICK_BY_LOAD,
+                                    .draw = pwrand_unit(&r),
+                                    .bound = {2, 2}};
+      pw_fleet_picked picked = pwfleet_pick(f, &criteria, 20);
+      to_least_loaded += picked.target == least_loaded;
+      pwfleet_release(picked.target);
     }
     printf("sticky %d: %d of %d to the target with the least load\n", is_sticky,
            to_least_loaded, PICKS);
@@ -398,18 +399,18 @@
   pw_heartbeat b = heartbeat("a", "10.0.0.1:80", 1, 0);
   pwfleet_heartbeat(f, &b, 0, 0);
   pw_target *t = pwfleet_find(f, "a");
-  pw_fleet_criteria ask = {
+  pw_fleet_criteria criteria = {
       .service = "s", .wait_ms = 100, .bound = {2, 2}, .conns = 3};
   t->nconns = 2;
-  pw_fleet_picked got = pwfleet_pick(f, &ask, 20);
-  CHECK(got.target == t);
-  pwfleet_release(got.target);
+  pw_fleet_picked picked = pwfleet_pick(f, &criteria, 20);
+  CHECK(picked.target == t);
+  pwfleet_release(picked.target);
   t->nconns = 3;
-  CHECK(pwfleet_pick(f, &ask, 20).target == NULL);
-  ask.conns = 0;
-  got = pwfleet_pick(f, &ask, 20);
-  CHECK(got.target == t);
-  pwfleet_release(got.target);
+  CHECK(pwfleet_pick(f, &criteria, 20).target == NULL);
+  criteria.conns = 0;
+  picked = pwfleet_pick(f, &criteria, 20);
+  CHECK(picked.target == t);
+  pwfleet_release(picked.target);
   t->nconns = 0;
   pwfleet_free(f);
 }
@@ -490,38 +491,38 @@
 ** that was sent there before fetches nothing. */
 static void test_shared_prefix(void) {
   pw_fleet *f = pwfleet_new("az", 100, 1000);
-  pw_fleet_criteria ask = {.service = "s",
-                           .is_sticky = 1,
-                           .key = 42,
-                           .bound = {1.6, 2, 0, 0},
-                           .part = 1};
+  pw_fleet_criteria criteria = {.service = "s",
+                                .is_sticky = 1,
+                                .key = 42,
+                                .bound = {1.6, 2, 0, 0},
+                                .part = 1};
   pw_heartbeat a = heartbeat("a", "10.0.0.1:80", 1, 0);
   pw_heartbeat b = heartbeat("b", "10.0.0.2:80", 1, 0);
   pwfleet_heartbeat(f, &a, 0, 1000);
   pwfleet_heartbeat(f, &b, 0, 1000);
-  pw_fleet_picked got = pwfleet_pick(f, &ask, 1000);
-  pw_target *home = got.target;
+  pw_fleet_picked picked = pwfleet_pick(f, &criteria, 1000);
+  pw_target *home = picked.target;
   pw_target *other = pwfleet_find(f, strcmp(home->id, "a") ? "a" : "b");
-  CHECK(got.is_home && got.holder == NULL);
-  pwfleet_release(got.target);
-  ask.prefix_target = other->short_hash;
-  got = pwfleet_pick(f, &ask, 1000);
-  CHECK(got.target == home && got.holder == other);
-  pwfleet_release(got.target);
-  ask.last_target = home->short_hash;
-  got = pwfleet_pick(f, &ask, 1000);
-  CHECK(got.target == home && got.holder == NULL);
-  pwfleet_release(got.target);
-  ask.last_target = 0;
-  ask.prefix_target = home->short_hash;
-  got = pwfleet_pick(f, &ask, 1000);
-  CHECK(got.target == home && got.holder == NULL);
-  pwfleet_release(got.target);
+  CHECK(picked.is_home && picked.holder == NULL);
+  pwfleet_release(picked.target);
+  criteria.prefix_target = other->short_hash;
+  picked = pwfleet_pick(f, &criteria, 1000);
+  CHECK(picked.target == home && picked.holder == other);
+  pwfleet_release(picked.target);
+  criteria.last_target = home->short_hash;
+  picked = pwfleet_pick(f, &criteria, 1000);
+  CHECK(picked.target == home && picked.holder == NULL);
+  pwfleet_release(picked.target);
+  criteria.last_target = 0;
+  criteria.prefix_target = home->short_hash;
+  picked = pwfleet_pick(f, &criteria, 1000);
+  CHECK(picked.target == home && picked.holder == NULL);
+  pwfleet_release(picked.target);
   other->is_gone = 1; /* its cache is gone with it */
-  ask.prefix_target = other->short_hash;
-  got = pwfleet_pick(f, &ask, 1000);
-  CHECK(got.target == home && got.holder == NULL);
-  pwfleet_release(got.target);
+  criteria.prefix_target = other->short_hash;
+  picked = pwfleet_pick(f, &criteria, 1000);
+  CHECK(picked.target == home && picked.holder == NULL);
+  pwfleet_release(picked.target);
   pwfleet_free(f);
 }
 
@@ -700,15 +701,16 @@
   }
   Pw__Document old = *pwdoc_packed(follower, 0);
   old.version = 1;
-  uint64_t held = pwdoc_version(leader);
-  CHECK(pwdoc_apply(leader, &old) == PW_OK && pwdoc_version(leader) == held);
-  old.version = held + 1;
+  uint64_t version_before = pwdoc_version(leader);
+  CHECK(pwdoc_apply(leader, &old) == PW_OK &&
+        pwdoc_version(leader) == version_before);
+  old.version = version_before + 1;
   old.since = 2;
   CHECK(pwdoc_apply(leader, &old) == PW_E_STALE);
   old.since = 0;
   old.data.len /= 2;
   CHECK(pwdoc_apply(leader, &old) == PW_E_CORRUPT);
-  CHECK(pwdoc_version(leader) == held);
+  CHECK(pwdoc_version(leader) == version_before);
   pwdoc_free(leader);
   pwdoc_free(follower);
 }
--- a/tests/test_h1.c
+++ b/tests/test_h1.c
@@ -97,8 +97,8 @@
 
 static void test_platform_headers(void) {
   pw_h1 m;
-  pw_request_info ask;
-  pw_answer_info told;
+  pw_request_info request;
+  pw_answer_info info;
   pwh1_init(&m, HTTP_REQUEST, 1000);
   feed(
       &m,
@@ -108,11 +108,11 @@
       "X-Kv-Backup: 10.0.0.1:1\r\nKv-From: 10.0.0.1:1/a\r\n"
       "Kv-Fetch: 10.0.0.1:1\r\nX-Urgency-Class: 0\r\n\r\n",
       1000);
-  plat_read_request(&m, &ask);
-  CHECK(ask.id.n == 2 && ask.deadline_ms == 1500 && ask.key.n == 1);
-  CHECK(ask.prompt_tokens == 1460 && ask.output_tokens == 80);
-  CHECK(ask.nparts == 2 && ask.part[0].id == 0x5c1e07a2);
-  CHECK(ask.part[1].tokens == 410);
+  plat_read_request(&m, &request);
+  CHECK(request.id.n == 2 && request.deadline_ms == 1500 && request.key.n == 1);
+  CHECK(request.prompt_tokens == 1460 && request.output_tokens == 80);
+  CHECK(request.nparts == 2 && request.part[0].id == 0x5c1e07a2);
+  CHECK(request.part[1].tokens == 410);
   static const char *const ours[] = {"X-Tenant",       "X-Hold",  "X-Pin-Ms",
                                      "X-Kv-Backup",    "Kv-From", "Kv-Fetch",
                                      "X-Urgency-Class"};
@@ -125,14 +125,14 @@
        "HTTP/1.1 503 X\r\nX-Request-Id: 9c\r\nX-Not-Executed: full\r\n"
        "X-Replica-Load: 3,1,8\r\nContent-Length: 0\r\n\r\n",
        1000);
-  plat_read_answer(&a, &ask, &told);
-  CHECK(told.id_matches && told.not_run && !told.is_signed &&
-        told.running == 3);
+  plat_read_answer(&a, &request, &info);
+  CHECK(info.id_matches && info.not_run && !info.is_signed &&
+        info.running == 3);
   pwh1_reset(&a);
   feed(&a, "HTTP/1.1 200 X\r\nX-Request-Id: 9d\r\nContent-Length: 0\r\n\r\n",
        1000);
-  plat_read_answer(&a, &ask, &told);
-  CHECK(!told.id_matches);
+  plat_read_answer(&a, &request, &info);
+  CHECK(!info.id_matches);
   pwh1_free(&a);
   pwh1_free(&m);
 }
@@ -162,17 +162,17 @@
                {"Retry-After: 1000000000000\r\n", 1000000000000000},
                {"Retry-After: 99999999999999999999999\r\n", 1000000000000000},
                {"Retry-After: 999999999999999999999999999999\r\n", 0}};
-  const pw_request_info ask = {.deadline_ms = -1};
+  const pw_request_info request = {.deadline_ms = -1};
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
     pw_h1 a;
-    pw_answer_info told;
+    pw_answer_info info;
     pw_buf text = {0};
     pwbuf_fmt(&text, "HTTP/1.1 503 X\r\n%sContent-Length: 0\r\n\r\n",
               cases[i].lines);
     pwh1_init(&a, HTTP_RESPONSE, 1000);
     feed(&a, text.data, 1000);
-    plat_read_answer(&a, &ask, &told);
-    CHECK(told.hold_off_ms == cases[i].ms);
+    plat_read_answer(&a, &request, &info);
+    CHECK(info.hold_off_ms == cases[i].ms);
     pwh1_free(&a);
     pwbuf_free(&text);
   }
@@ -183,16 +183,16 @@
   static const char *const lines[] = {"", "Server-Leaving: 0\r\n",
                                       "Server-Leaving: 1\r\n",
                                       "server-leaving:  1 \r\n"};
-  const pw_request_info ask = {.deadline_ms = -1};
+  const pw_request_info request = {.deadline_ms = -1};
   for (size_t i = 0; i < sizeof lines / sizeof lines[0]; i++) {
     pw_h1 a;
-    pw_answer_info told;
+    pw_answer_info info;
     pw_buf text = {0};
     pwbuf_fmt(&text, "HTTP/1.1 200 X\r\n%sContent-Length: 0\r\n\r\n", lines[i]);
     pwh1_init(&a, HTTP_RESPONSE, 1000);
     feed(&a, text.data, 1000);
-    plat_read_answer(&a, &ask, &told);
-    CHECK(told.is_leaving == (i >= 2));
+    plat_read_answer(&a, &request, &info);
+    CHECK(info.is_leaving == (i >= 2));
     pwh1_free(&a);
     pwbuf_free(&text);
   }
--- a/tests/test_link.c
+++ b/tests/test_link.c
@@ -12,13 +12,13 @@
 #include <unistd.h>
 
 #define CONTROLS 5
-#define TRIES 1000
-#define TRY_MS 5
+#define TRIES 1000 /* most iterations until a condition holds */
+#define TRY_MS 5   /* duration of an iteration, ms */
 #define ITERATIONS 4
 #define WATCH_MS 100000 /* longer than any silence in these tests */
 
-/* After this time a document that did not come is requested again. */
-#define ASK_MS 2000
+/* After this time a document that was not received is requested again. */
+#define REQUEST_AGAIN_MS 2000
 
 /* After this time gateways have returned to their preferred control instance. */
 #define LONG_MS 8000
@@ -34,7 +34,7 @@
   pw_settings set;
   pw_proc p;
   pw_gate g;
-  pw_wire *far; /* transport of the control instances */
+  pw_wire *control_wire; /* transport of the control instances */
   control c[CONTROLS];
   int64_t now;  /* the time passed to the gateway's ticks, ms */
   int64_t step; /* advance of that time in each iteration, ms */
@@ -57,13 +57,13 @@
   b->p.counters = pwcount_new();
   pwhlc_init(&b->p.hlc);
   b->p.wire = pwwire_new(&b->set, b->p.counters, &b->p.hlc, &err);
-  b->far = pwwire_new(&b->set, b->p.counters, &b->p.hlc, &err);
+  b->control_wire = pwwire_new(&b->set, b->p.counters, &b->p.hlc, &err);
   for (int i = 0; i < CONTROLS; i++) {
     char addr[PW_NAME_MAX];
     snprintf(addr, sizeof addr, "127.0.0.%d:1", i + 1);
     b->set.gateway_control.item[b->set.gateway_control.n++] = pw_dup(addr);
     snprintf(addr, sizeof addr, "tcp://127.0.0.%d:%d", i + 1, port);
-    b->c[i].sock = pwwire_listen(b->far, addr, &err);
+    b->c[i].sock = pwwire_listen(b->control_wire, addr, &err);
     CHECK(b->c[i].sock != NULL);
   }
   b->g.p = &b->p;
@@ -88,7 +88,7 @@
   pwfleet_free(b->g.fleet);
   pwtrace_free(b->g.trace);
   ev_loop_destroy(b->g.ev);
-  pwwire_free(b->far);
+  pwwire_free(b->control_wire);
   pwwire_free(b->p.wire);
   pwcount_free(b->p.counters);
 }
@@ -198,7 +198,7 @@
   UNTIL(&b, wanted(&b) > 0);
   CHECK(wanted(&b) == 1);
   CHECK(primary(&b)->wanted == 1);
-  /* it does not come: requested again from the primary */
+  /* it is not received: requested again from the primary */
   UNTIL(&b, wanted(&b) > 1);
   CHECK(primary(&b)->wanted == wanted(&b));
   end(&b);
@@ -221,7 +221,7 @@
 static void send_all_notices(bed *b, uint64_t site, const control *by) {
   int before = wanted(b);
   b->step = 0;
-  b->now += ASK_MS;
+  b->now += REQUEST_AGAIN_MS;
   for (int i = 0; i < CONTROLS; i++)
     send_notice(&b->c[i], site, 1);
   UNTIL(b, wanted(b) > before);
@@ -252,7 +252,7 @@
   b.step = 0;
   for (int i = 0; i < CONTROLS; i++)
     send_notice_contact(&b.c[i], 5, 0, &b.c[i] == second);
-  b.now += ASK_MS;
+  b.now += REQUEST_AGAIN_MS;
   int before = wanted(&b);
   UNTIL(&b, wanted(&b) > before);
   CHECK(primary(&b) == first); /* a short loss of contact is tolerated */
