--- a/packages/gateway/pwgossipmsg.c
+++ b/packages/gateway/pwgossipmsg.c
@@ -81,8 +81,8 @@
   }
 }
 
-/* Drops prompts, and then loads, until the message fits into a datagram. If the part were not sent
-** at all, the receivers would keep the outdated loads of its targets. */
+/* Drops prompts, and then loads, until the part fits into a datagram. If it were not sent at all, the
+** receivers would keep outdated loads of its targets. */
 static void trim_to_size(Pw__Gossip *m) {
   while (pw__gossip__get_packed_size(m) > PWGOSSIPMSG_BYTES) {
     if (m->n_keys > 0)
