--- a/packages/agent/pwag.h
+++ b/packages/agent/pwag.h
@@ -29,7 +29,7 @@
   char attempt[PW_NAME_MAX];
   pw_job *job;
   int cancelled; /* the worker reads no further, the entry gets no more chunks */
-  int64_t heard; /* last message from its entry, ms */
+  int64_t received_at; /* last message from its entry, ms */
   UT_hash_handle hh;
 } pw_ag_job;
 
@@ -61,7 +61,7 @@
 typedef struct pw_ag_refusal {
   pw_code code;
   uint32_t wait, worth; /* ms, as in pw_admit_answer */
-  uint32_t kv_tokens;   /* cached prefix that another engine may take over */
+  uint32_t kv_tokens;   /* cached tokens that another engine may copy */
   const char *pointer;  /* target that has the prefix cached, or NULL */
 } pw_ag_refusal;
 
@@ -72,7 +72,7 @@
 /* Fills in the target's current load. */
 void pwag_fill_load(pw_agent *a, Pw__Load *l, int64_t now);
 
-/* Tells an entry that the attempt was not started and will not be. */
+/* Sends an entry the Refuse of an attempt, which was not and will not be started. */
 void pwag_refuse(pw_agent *a, const pw_peer *to, const Pw__Run *run,
                  const pw_ag_refusal *why, int64_t now);
 
--- a/packages/agent/pwagent.c
+++ b/packages/agent/pwagent.c
@@ -11,7 +11,7 @@
 #define TICK_MS 10
 #define IDLE_TICK_MS 50    /* without jobs; a message ends the wait at once */
 #define APPLY_MS 50        /* between calls of pwdesired_apply */
-#define SPARE_WORKERS 2    /* besides one a slot, for cancels */
+#define SPARE_WORKERS 2    /* for cancels, besides one worker per slot */
 #define PEER_LOST_MS 10000 /* a silent entry counts as lost after this time */
 
 /* --- configuration --- */
@@ -92,14 +92,14 @@
   return 0;
 }
 
-/* Has the desired state applied. Orders may be sent as long as this process may
-** serve. */
+/* Passes the desired state to the order thread, which may send orders as long as
+** this process may serve. */
 static void apply_desired(pw_agent *a, int64_t now) {
   if (now - a->applied_at < APPLY_MS)
     return;
   a->applied_at = now;
-  int64_t touch = pwsub_contact_age(a->sub, now);
-  int64_t left = touch < 0 ? 0 : a->p->set->agent_stale - touch;
+  int64_t contact_age = pwsub_contact_age(a->sub, now);
+  int64_t left = contact_age < 0 ? 0 : a->p->set->agent_stale - contact_age;
   pwdesired_apply(&a->desired, is_busy, a, now + left);
   if (pwdesired_state_changed(&a->desired))
     pwsub_hello_now(a->sub);
@@ -114,12 +114,12 @@
   pw_ag_job *h, *tmp;
   HASH_ITER(hh, a->jobs, h, tmp) {
     int waiting = !h->job->started || pwjob_is_blocked(h->job);
-    if (waiting && now - h->heard > PEER_LOST_MS)
+    if (waiting && now - h->received_at > PEER_LOST_MS)
       pwag_cancel(a, h, now);
   }
 }
 
-/* Takes in cache events. When events are missing, a snapshot is requested. */
+/* Takes in cache events. Requests a snapshot when events are missing. */
 static void read_cache_events(pw_agent *a) {
   pw_cache_update update;
   if (!pwkvfeed_take(a->kvfeed, &update))
--- a/packages/agent/pwagrun.c
+++ b/packages/agent/pwagrun.c
@@ -81,7 +81,7 @@
   pw_ag_job *h = pw_alloc(sizeof *h);
   pw_copy(h->attempt, sizeof h->attempt, j->run->attempt);
   h->job = j;
-  h->heard = now;
+  h->received_at = now;
   HASH_ADD_STR(a->jobs, attempt, h);
   pwcount_set(a->p->counters, PWC_ACTIVE, HASH_COUNT(a->jobs));
   return h;
@@ -174,21 +174,21 @@
   *recompute = cached * share;
 }
 
-/* Refuses a Run that needs a cached prefix which is not here. Returns whether it
-** did. */
-static int lacks_prefix(pw_agent *a, const Pw__Run *run, const pw_peer *from,
-                        int64_t now) {
-  char where[PW_NAME_MAX] = "";
+/* Refuses a Run that requires a cached prefix which this target does not have.
+** Returns whether the Run was refused. */
+static int refuse_without_prefix(pw_agent *a, const Pw__Run *run,
+                                 const pw_peer *from, int64_t now) {
+  char target[PW_NAME_MAX] = "";
   if (!run->need_prefix || pwcache_expect(&a->cache, run->chat, now))
     return 0;
-  pwchat_get(a->pointers, run->chat, where, NULL, now);
+  pwchat_get(a->pointers, run->chat, target, NULL, now);
   pwag_refuse(a, from, run,
-              &(pw_ag_refusal){.code = PW_E_MISS, .pointer = where}, now);
+              &(pw_ag_refusal){.code = PW_E_MISS, .pointer = target}, now);
   return 1;
 }
 
-/* Starts an attempt that resumes a stream, in place of the earlier attempt. It
-** bypasses the queue, since its tokens are in progress at the engine already. */
+/* Starts an attempt that resumes a stream, in place of the earlier attempt. The
+** attempt bypasses the queue, since the engine already generates its tokens. */
 static void resume(pw_agent *a, pw_job *j, int64_t now) {
   pw_ag_job *h, *tmp;
   pwdetached_remove(a->detached, j->origin);
@@ -217,36 +217,36 @@
     resume(a, j, now);
     return;
   }
-  pw_admit_request ask = {.workspace = run->workspace,
-                          .weight = run->weight,
-                          .priority = run->priority,
-                          .cost = j->cost,
-                          .recompute = recompute,
-                          .deadline = j->deadline,
-                          .age_ms =
-                              now - (run->start_by - (int64_t)run->deadline),
-                          .may_queue = run->may_queue,
-                          .job = j};
-  pw_admit_answer ans = pwadmit_decide(
-      &a->admit, &ask, pwdesired_pool(&a->desired, run->pool), now);
-  if (ans.by_bound)
+  pw_admit_request request = {
+      .workspace = run->workspace,
+      .weight = run->weight,
+      .priority = run->priority,
+      .cost = j->cost,
+      .recompute = recompute,
+      .deadline = j->deadline,
+      .age_ms = now - (run->start_by - (int64_t)run->deadline),
+      .may_queue = run->may_queue,
+      .job = j};
+  pw_admit_answer answer = pwadmit_decide(
+      &a->admit, &request, pwdesired_pool(&a->desired, run->pool), now);
+  if (answer.by_bound)
     pwcount_add(a->p->counters, PWC_BOUND, 1);
-  if (ans.verdict == PW_ADMIT_REFUSED) {
-    pw_ag_refusal why = {.code = ans.code,
-                         .wait = ans.wait,
-                         .worth = ans.worth,
+  if (answer.verdict == PW_ADMIT_REFUSED) {
+    pw_ag_refusal why = {.code = answer.code,
+                         .wait = answer.wait,
+                         .worth = answer.worth,
                          .kv_tokens = a->move.may_import ? j->expected : 0};
     pwag_refuse(a, &j->peer, run, &why, now);
     pwjob_free(j);
     return;
   }
   add_job(a, j, now);
-  if (ans.verdict == PW_ADMIT_START)
+  if (answer.verdict == PW_ADMIT_START)
     run_now(a, j, now);
   else
     pwcount_add(a->p->counters, PWC_QUEUED, 1);
-  if (ans.evicted_job)
-    pwag_refuse_queued(a, ans.evicted_job, PW_E_BUSY, now);
+  if (answer.evicted_job)
+    pwag_refuse_queued(a, answer.evicted_job, PW_E_BUSY, now);
 }
 
 /* Handles a Run. One that becomes a job is taken out of the envelope. */
@@ -262,7 +262,7 @@
     pwag_refuse(a, from, run, &(pw_ag_refusal){.code = rc}, now);
     return;
   }
-  if (lacks_prefix(a, run, from, now))
+  if (refuse_without_prefix(a, run, from, now))
     return;
   e->run = NULL;
   e->body_case = PW__ENVELOPE__BODY__NOT_SET;
@@ -320,13 +320,13 @@
       send_pong(a, &from, now);
       for (pw_ag_job *x = a->jobs; x; x = x->hh.next)
         if (pwwire_same_peer(&x->job->peer, &from))
-          x->heard = now;
+          x->received_at = now;
       break;
     default:
       break;
     }
     if (h)
-      h->heard = now;
+      h->received_at = now;
     pw__envelope__free_unpacked(e, NULL);
   }
 }
--- a/packages/agent/pwagwork.c
+++ b/packages/agent/pwagwork.c
@@ -122,8 +122,8 @@
         a->p->set->agent_target, (long long)n->hold_off_ms);
 }
 
-/* Whether it is proved that the attempt did not run. A resuming attempt proves nothing, since the stream that
-** it resumes has run. */
+/* Whether it is proved that the request did not run. There is no proof for a resuming attempt, since the
+** stream that it resumes has run. */
 static int has_proof(const pw_job *j, const pw_job_note *n) {
   int is_unreached = n->code == PW_E_CONNECT && !n->sent;
   return (is_unreached || n->not_run) && !j->run->resume_of[0];
@@ -154,7 +154,7 @@
     pwwire_send(a->listener, &j->peer, &e);
   }
   if (n->code == PW_E_CONNECT)
-    pwcache_restarted(&a->cache); /* its cache may be lost */
+    pwcache_restarted(&a->cache); /* the target may have lost its cache */
   pwag_release(a, h);
 }
 
--- a/packages/agent/pwdesired.c
+++ b/packages/agent/pwdesired.c
@@ -76,7 +76,7 @@
   return changed;
 }
 
-/* The sums are dated back to the Hello that they answer. */
+/* The load sums are dated back to the Hello that the Welcome answers. */
 void pwdesired_set_sums(pw_desired *c, const Pw__Welcome *w) {
   for (size_t i = 0; i < w->n_pools; i++) {
     pw_desired_pool *p = find_pool(c, w->pools[i]->pool);
--- a/packages/agent/pwdesired.h
+++ b/packages/agent/pwdesired.h
@@ -8,7 +8,7 @@
 #include "pworder.h"
 #include "pwproc.h"
 
-#define PWDESIRED_POOLS 32
+#define PWDESIRED_POOLS 32 /* pools of one target; more are ignored */
 
 typedef struct pw_desired_pool {
   char name[PWASSIGN_POOL_BYTES];
@@ -44,8 +44,8 @@
 /* Whether the pool serves a version of the model. */
 int pwdesired_is_pool_of(const char *pool, const char *model);
 
-/* Has the assignment applied; orders are sent until our time `until` at the
-** latest. is_busy returns whether requests for a model are in progress. */
+/* Passes the assignment to the order thread, which sends orders until our time
+** `until` at the latest. is_busy returns whether requests for a model are in progress. */
 void pwdesired_apply(pw_desired *c,
                      int (*is_busy)(void *arg, const char *model), void *arg,
                      int64_t until);
--- a/packages/agent/pwdetached.c
+++ b/packages/agent/pwdetached.c
@@ -20,40 +20,40 @@
   return pw_alloc(sizeof(pw_detached));
 }
 
-static void drop(pw_detached *u, row *r) {
-  HASH_DEL(u->rows, r);
+static void drop(pw_detached *d, row *r) {
+  HASH_DEL(d->rows, r);
   free(r);
 }
 
-void pwdetached_free(pw_detached *u) {
+void pwdetached_free(pw_detached *d) {
   row *r, *tmp;
-  HASH_ITER(hh, u->rows, r, tmp) {
-    drop(u, r);
+  HASH_ITER(hh, d->rows, r, tmp) {
+    drop(d, r);
   }
-  free(u);
+  free(d);
 }
 
-void pwdetached_remove(pw_detached *u, const char *origin) {
+void pwdetached_remove(pw_detached *d, const char *origin) {
   row *r;
-  HASH_FIND_STR(u->rows, origin, r);
+  HASH_FIND_STR(d->rows, origin, r);
   if (r)
-    drop(u, r);
+    drop(d, r);
 }
 
-void pwdetached_add(pw_detached *u, const char *origin, int64_t now) {
-  pwdetached_remove(u, origin);
+void pwdetached_add(pw_detached *d, const char *origin, int64_t now) {
+  pwdetached_remove(d, origin);
   row *r = pw_alloc(sizeof *r);
   pw_copy(r->origin, sizeof r->origin, origin);
   r->since = now;
-  HASH_ADD_STR(u->rows, origin, r);
+  HASH_ADD_STR(d->rows, origin, r);
 }
 
-int pwdetached_take_expired(pw_detached *u, int64_t now,
+int pwdetached_take_expired(pw_detached *d, int64_t now,
                             char origin[PW_NAME_MAX]) {
-  row *oldest = u->rows;
+  row *oldest = d->rows;
   if (!oldest || now - oldest->since < PWDETACHED_MS)
     return 0;
   pw_copy(origin, PW_NAME_MAX, oldest->origin);
-  drop(u, oldest);
+  drop(d, oldest);
   return 1;
 }
--- a/packages/agent/pwjob.c
+++ b/packages/agent/pwjob.c
@@ -10,13 +10,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TAIL 64 /* last bytes of a stream, which hold its end mark */
+#define TAIL 64 /* bytes kept of a stream's end, to check its end mark */
 #define STACK_BYTES (256 * 1024)
-#define HEADERS_MAX 72
+#define HEADERS_MAX 72 /* of a service's request; more are not forwarded */
 #define CHAT_HEADERS 7
-#define END_MS 1000 /* time that cancelled jobs have to end */
+#define END_MS 1000 /* wait for cancelled jobs to end */
 #define CANCEL_TIMEOUT_S 2
-#define CANCEL_MAX 4096
+#define CANCEL_MAX 4096 /* bytes of the answer to a cancel */
 #define HTTP_TOO_MANY 429
 #define HTTP_UNAVAILABLE 503
 
--- a/packages/agent/pwjob.h
+++ b/packages/agent/pwjob.h
@@ -16,20 +16,20 @@
   pw_peer peer;
   int64_t since;     /* when it was queued or started, ms */
   int64_t deadline;  /* ms of the agent's clock */
-  double cost;       /* estimated cost in tokens ... */
-  double left;       /* ... and the part of it still in progress */
+  double cost;       /* estimated cost in tokens */
+  double left;       /* part of the cost that is still in progress */
   uint32_t expected; /* cached tokens expected when it was admitted */
   uint32_t cached, prompt, output; /* tokens as the engine has counted them */
-  int import;    /* the engine is to take over another engine's KV cache */
-  int started;   /* handed to a worker */
-  int is_cancel; /* only tells the target to cancel `origin` */
+  int import;    /* the engine is to copy another engine's KV cache */
+  int started;   /* queued for a worker */
+  int is_cancel; /* runs nothing, asks the target to cancel `origin` */
 
   pthread_mutex_t lock;
   pthread_cond_t changed; /* acked, cancelled or orphan has changed */
   uint64_t sent;          /* end offset of the answer bytes posted */
   uint64_t acked;         /* offset up to which the caller has read */
   int cancelled;
-  int orphan; /* nobody waits for the answer, which is read and dropped */
+  int orphan; /* the entry wants no more of the answer: it is read and dropped */
 } pw_job;
 
 typedef enum pw_job_event { PW_JOB_HEAD, PW_JOB_DATA, PW_JOB_END } pw_job_event;
@@ -68,7 +68,7 @@
 /* Queues a job for the workers. */
 void pwjob_start(pw_workers *w, pw_job *j);
 
-/* Has a worker tell the target to cancel a stream. */
+/* Has a worker send the target a request to cancel a stream. */
 void pwjob_cancel_at_target(pw_workers *w, const char *origin);
 
 /* Notes that the caller has read the answer up to offset. */
--- a/packages/agent/pwkvfeed.c
+++ b/packages/agent/pwkvfeed.c
@@ -19,17 +19,18 @@
 
 struct pw_kvfeed {
   char *url;
-  int64_t every;
+  int64_t every_ms; /* between requests; 0: never */
   pw_thread thread;
   /* Protected by the thread's lock: */
   pw_cache_update update;
-  int has_update; /* `update` is not taken yet, or polling was not resumed since */
-  int is_taken;  /* `update` was taken */
-  uint64_t seen; /* number of the newest event known */
-  int snapshot;  /* the next request is for a snapshot */
+  int has_update; /* set from a fetch until polling is resumed */
+  int is_taken;   /* `update` was taken */
+  uint64_t seen;  /* number of the newest event known */
+  int snapshot;   /* the next request is for a snapshot */
 };
 
-static void read_event(const json_t *one, int64_t asked, pw_cache_update *out) {
+static void read_event(const json_t *one, int64_t sent_at,
+                       pw_cache_update *out) {
   const char *key = pwjson_text(one, "key");
   double tokens = pwjson_number(one, "tokens", -1);
   double number = pwjson_number(one, "n", 0);
@@ -40,10 +41,10 @@
   pw_copy(e->chat, sizeof e->chat, key);
   e->tokens = (uint32_t)tokens;
   e->number = (uint64_t)number;
-  e->at = asked - (int64_t)pwjson_number(one, "age_ms", 0);
+  e->at = sent_at - (int64_t)pwjson_number(one, "age_ms", 0);
 }
 
-int pwkvfeed_read(const char *text, size_t len, int64_t asked,
+int pwkvfeed_read(const char *text, size_t len, int64_t sent_at,
                   pw_cache_update *out) {
   json_t *doc = json_loadb(text, len, 0, NULL);
   const json_t *events = json_object_get(doc, "events");
@@ -55,12 +56,12 @@
   out->epoch = (uint64_t)pwjson_number(doc, "epoch", 0);
   out->newest = (uint64_t)pwjson_number(doc, "newest", 0);
   out->is_snapshot = json_is_true(json_object_get(doc, "all"));
-  out->at = asked - (int64_t)pwjson_number(doc, "age_ms", 0);
+  out->at = sent_at - (int64_t)pwjson_number(doc, "age_ms", 0);
   out->event = pw_alloc(sizeof *out->event * (json_array_size(events) + 1));
   size_t i;
   const json_t *one;
   json_array_foreach(events, i, one) {
-    read_event(one, asked, out);
+    read_event(one, sent_at, out);
   }
   json_decref(doc);
   return 0;
@@ -72,7 +73,7 @@
   char path[96];
   pw_buf text = {0};
   int status = 0;
-  int64_t asked = pwclock_ms();
+  int64_t sent_at = pwclock_ms();
   snprintf(path, sizeof path, "/v1/cache/events?after=%llu&all=%d",
            (unsigned long long)seen, snapshot);
   pw_code rc = pwfetch_text(f->url, "GET", path, NULL, 0, NULL, TIMEOUT_S,
@@ -80,7 +81,7 @@
   if (rc == PW_OK && status != 200)
     rc = status == 404 ? PW_E_PATH : PW_E_UPSTREAM;
   if (rc == PW_OK &&
-      pwkvfeed_read(text.data ? text.data : "", text.len, asked, out) != 0)
+      pwkvfeed_read(text.data ? text.data : "", text.len, sent_at, out) != 0)
     rc = PW_E_UPSTREAM;
   pwbuf_free(&text);
   return rc;
@@ -94,7 +95,7 @@
   int snapshot = f->snapshot;
   pthread_mutex_unlock(&f->thread.lock);
   if (is_suspended)
-    return f->every;
+    return f->every_ms;
   pw_cache_update update;
   pw_code rc = fetch_events(f, seen, snapshot, &update);
   if (rc != PW_OK)
@@ -104,13 +105,13 @@
   f->has_update = 1;
   f->is_taken = 0;
   pthread_mutex_unlock(&f->thread.lock);
-  return f->every;
+  return f->every_ms;
 }
 
 pw_kvfeed *pwkvfeed_start(const char *url, int64_t every_ms) {
   pw_kvfeed *f = pw_alloc(sizeof *f);
   f->url = pw_dup(url);
-  f->every = every_ms;
+  f->every_ms = every_ms;
   f->snapshot = 1;
   if (every_ms)
     pwthread_start(&f->thread, work, f, 0);
@@ -118,7 +119,7 @@
 }
 
 int pwkvfeed_stop(pw_kvfeed *f) {
-  if (f->every && pwthread_stop(&f->thread, STOP_MS) != 0)
+  if (f->every_ms && pwthread_stop(&f->thread, STOP_MS) != 0)
     return -1;
   if (f->has_update && !f->is_taken)
     pwkvfeed_clear(&f->update);
@@ -128,7 +129,7 @@
 }
 
 int pwkvfeed_take(pw_kvfeed *f, pw_cache_update *out) {
-  if (!f->every)
+  if (!f->every_ms)
     return 0;
   pthread_mutex_lock(&f->thread.lock);
   int has = f->has_update && !f->is_taken;
@@ -147,7 +148,7 @@
 
 void pwkvfeed_resume(pw_kvfeed *f, uint64_t seen, int snapshot) {
   pthread_mutex_lock(&f->thread.lock);
-  int at_once = snapshot && !f->snapshot; /* else at the usual interval */
+  int at_once = snapshot && !f->snapshot; /* else at the next interval */
   f->seen = seen;
   f->snapshot = snapshot;
   f->has_update = 0;
--- a/packages/agent/pwkvfeed.h
+++ b/packages/agent/pwkvfeed.h
@@ -22,9 +22,9 @@
 /* Resumes polling for the events after number `seen`, or for a snapshot. */
 void pwkvfeed_resume(pw_kvfeed *f, uint64_t seen, int snapshot);
 
-/* Parses an answer to a request sent at `asked` (our clock, ms). Returns -1 when
+/* Parses an answer to a request sent at `sent_at` (our clock, ms). Returns -1 when
 ** it is malformed; single malformed events are skipped. Pure. */
-int pwkvfeed_read(const char *text, size_t len, int64_t asked,
+int pwkvfeed_read(const char *text, size_t len, int64_t sent_at,
                   pw_cache_update *out);
 
 #endif
--- a/packages/agent/pworder.c
+++ b/packages/agent/pworder.c
@@ -42,7 +42,7 @@
 
   /* Protected by the thread's lock: */
   pw_order_want want;
-  int64_t until;                           /* no order is sent from then on */
+  int64_t until; /* no order is sent from this time on, ms */
   order_status published[PWASSIGN_MODELS]; /* copy of `status` */
   int npublished;
   uint64_t changes;
@@ -75,8 +75,8 @@
                    m->load, "adapters", adapters);
 }
 
-/* Sends an order unless the permission has expired or the desired state has
-** changed. */
+/* Sends an order unless the agent's permission has expired or the desired state
+** has changed. */
 static pw_code send_order(pw_order *o, const pw_order_want *w, json_t *order) {
   char term[24], sequence[24];
   snprintf(term, sizeof term, "%llu", (unsigned long long)w->term);
--- a/packages/agent/pworder.h
+++ b/packages/agent/pworder.h
@@ -16,7 +16,7 @@
 /* One model of the assignment. */
 typedef struct pw_order_item {
   pw_assigned want;
-  int idle; /* no request is in progress: the version may be exchanged */
+  int idle; /* no request is in progress, so the version may be exchanged */
 } pw_order_item;
 
 /* The desired state of the target. */
--- a/packages/entry/pwanswer.c
+++ b/packages/entry/pwanswer.c
@@ -8,7 +8,8 @@
 #define ANSWER_MAX                                                             \
   (8 * 1024 * 1024) /* bytes of an answer that is not streamed */
 
-/* Tells the chat's home target which other target now holds its cached prefix. */
+/* Sends the chat's home target the name of the target that now has the chat's
+** prefix cached. */
 static void send_pointer(pw_flights *fs, const pw_flight *f) {
   const pw_call *c = f->call;
   pw_route_pool pool;
@@ -104,8 +105,8 @@
   f->credited = offset;
 }
 
-/* Appends the bytes at their offset. Bytes received before are skipped; missing
-** bytes break the attempt off. */
+/* Appends the bytes at their offset. Bytes received before are skipped; when bytes
+** are missing, the attempt counts as broken off. */
 static void on_chunk(pw_flights *fs, pw_flight *f, const Pw__Chunk *k,
                      const pw_policy *policy, int64_t now) {
   if (f->state != F_ANSWERING)
@@ -120,10 +121,10 @@
   ProtobufCBinaryData fresh = {k->data.len - seen, k->data.data + seen};
   f->received += fresh.len;
   add_to_record(f, &fresh);
-  size_t held = pwcall_data(f->call, fresh.data, fresh.len);
+  size_t buffered = pwcall_data(f->call, fresh.data, fresh.len);
   if (f->call->stream)
     return; /* credit is sent as the caller reads */
-  if (held > ANSWER_MAX) {
+  if (buffered > ANSWER_MAX) {
     pwfl_send_cancel(fs, f);
     pwfl_fail(fs, f, PW_E_UPSTREAM, now);
     return;
@@ -202,18 +203,19 @@
   pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
 }
 
-/* Sends the Runs that waited for this link. */
+/* Sends the Runs that wait for the target's link to open. */
 static void send_waiting(pw_flights *fs, pw_target *t, int64_t now) {
   for (pw_flight *f = fs->all; f; f = f->hh.next)
     if (f->target == t->id && f->state == F_OPENING)
       pwfl_send_run(fs, f, t, now);
 }
 
-/* Handles what every message of an agent shows: the link is up, and the load. */
+/* Notes that the agent's link is up, and takes in the load if the message carries
+** one. */
 static void on_any_message(pw_flights *fs, pw_target *t, const Pw__Envelope *e,
                            const pw_policy *policy, int64_t now) {
   t->link = PW_LINK_UP;
-  t->link_heard = now;
+  t->link_received_at = now;
   const Pw__Load *load = load_of(e);
   int restarted = load && pwtargets_report(fs->targets, load,
                                            now - (int64_t)load->age, now);
--- a/packages/entry/pwattempt.c
+++ b/packages/entry/pwattempt.c
@@ -5,7 +5,7 @@
 #include "pwlog.h"
 
 #define RESUMES_MAX 7
-#define RESUMES_FIRST 2 /* for requests that may be retried elsewhere instead */
+#define RESUMES_MAX_REPEATABLE 2 /* such requests may be retried elsewhere */
 
 /* An agent that refuses since its target serves no such pool has another revision of the resources than
 ** this entry, and one of the two is updated soon. When no target is left, the agents are retried after 20,
@@ -18,10 +18,10 @@
 /* A claim is settled only by a complete answer or a proof that the request did
 ** not run. With neither the key stays claimed, and a resent request gets an
 ** error. */
-void pwfl_settle(pw_flights *fs, pw_flight *f, int whole, int not_run,
+void pwfl_settle(pw_flights *fs, pw_flight *f, int complete, int not_run,
                  int64_t now) {
   pwfl_release(fs, f);
-  if (!f->call->never || (!whole && !not_run)) {
+  if (!f->call->never || (!complete && !not_run)) {
     pwfl_drop(fs, f);
     return;
   }
@@ -119,7 +119,7 @@
     f->maybe_started++;
     return;
   }
-  f->state = F_OPENING; /* not sent: tick_flight goes on to another target */
+  f->state = F_OPENING; /* not sent: tick_flight picks another target later */
   pwtargets_disconnect(fs->targets, t);
 }
 
@@ -202,7 +202,8 @@
   pwfl_place(fs, f, policy, now);
 }
 
-/* A stream that has reached the caller cannot be started again. */
+/* Whether the request may be run again. A stream that has reached the caller may
+** only be resumed. */
 static int may_repeat(const pw_flight *f) {
   if (!f->call->repeatable || f->call->never)
     return 0;
@@ -213,7 +214,7 @@
 ** link was lost. The engine identifies the stream by its first attempt id, so a
 ** resume starts nothing twice and is not charged to the retry budget. */
 static int may_resume(const pw_flight *f, pw_code code) {
-  int limit = may_repeat(f) ? RESUMES_FIRST : RESUMES_MAX;
+  int limit = may_repeat(f) ? RESUMES_MAX_REPEATABLE : RESUMES_MAX;
   if (f->call->is_service || f->resumes >= limit)
     return 0;
   int is_link_lost = code == PW_E_TIMEOUT || code == PW_E_CUT;
--- a/packages/entry/pwcall.c
+++ b/packages/entry/pwcall.c
@@ -70,11 +70,11 @@
 size_t pwcall_data(pw_call *c, const void *data, size_t n) {
   pthread_mutex_lock(&c->lock);
   pwbuf_add(&c->out, data, n);
-  size_t held = c->out.len;
+  size_t buffered = c->out.len;
   if (c->stream)
     wake(c);
   pthread_mutex_unlock(&c->lock);
-  return held;
+  return buffered;
 }
 
 void pwcall_reset(pw_call *c) {
--- a/packages/entry/pwcall.h
+++ b/packages/entry/pwcall.h
@@ -58,7 +58,7 @@
   char target[PW_NAME_MAX];
   char type[96];
   uint32_t cached_tokens, prompt_seen; /* as the engine has counted them */
-  int has_tokens;                      /* these counts are known */
+  int has_tokens;   /* cached_tokens and prompt_seen are known */
   int headers_sent; /* status and headers cannot change any more */
   pw_buf out;       /* answer bytes that the caller has not read yet */
   uint64_t taken;   /* answer bytes that the caller has read */
@@ -111,7 +111,7 @@
 ** connection. */
 void pwcall_begin(pw_call *c, pw_http *h);
 
-/* HTTP thread: ends the request and drops the thread's reference. */
+/* HTTP thread: ends the request and releases the thread's reference. */
 void pwcall_end(pw_call *c);
 
 /* Wire thread: whether the caller has hung up. */
--- a/packages/entry/pwclaim.c
+++ b/packages/entry/pwclaim.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define FULL_RETRY_MS 5000 /* a full once-ledger drops claims as they expire */
+#define FULL_RETRY_MS 5000 /* expired claims make room in a full once-ledger */
 
 void pwfl_send_claim(pw_flights *fs, pw_flight *f, int64_t now) {
   pw_call *c = f->call;
@@ -62,8 +62,8 @@
   pw_flight *f = by_request(fs, cl->id);
   if (!f || cl->code == PW_E_NOT_LEADER)
     return; /* tick_ledger resends the claim */
-  /* A late answer to the Claim must not be taken for one to the Record: the
-  ** record would not be resent, and the key would stay claimed. */
+  /* A late answer to the Claim must not be taken for one to the Record.
+  ** Otherwise the record would not be resent, and the key would stay claimed. */
   if (f->state == F_RECORDING && cl->recorded) {
     pwfl_drop(fs, f);
     return;
--- a/packages/entry/pwentry.c
+++ b/packages/entry/pwentry.c
@@ -23,8 +23,9 @@
 #define TICK_MS 20
 #define SUM_MS 50       /* between updates of the pools' load sums */
 #define SNAPSHOT_MS 250 /* between updates of the HTTP threads' snapshot */
-#define TURN_MS 100     /* a longer iteration of the event loop is a stall */
-#define POOLS_PER_AGENT 16
+#define ITERATION_MAX_MS                                                       \
+  100                      /* a longer iteration of the event loop is a stall */
+#define POOLS_PER_AGENT 16 /* load sums sent to an agent at most */
 #define FORWARD_TIMEOUT_S 40
 #define FORWARD_MAX (64 * 1024 * 1024) /* bytes of a forwarded answer */
 #define STOP_GRACE_MS 300 /* from failing /ready to closing the listener */
@@ -161,9 +162,9 @@
     start_call(en, h);
 }
 
-static void on_http_done(void *arg, void *request, int whole) {
+static void on_http_done(void *arg, void *request, int complete) {
   (void)arg;
-  (void)whole;
+  (void)complete;
   pwcall_end(request);
 }
 
@@ -195,8 +196,8 @@
   return since < pwres_floor(r);
 }
 
-/* Applies the resources received; revisions that came together are applied at
-** once. */
+/* Applies the newest revision of the resources; revisions that arrived together
+** are applied in one step. */
 static void resources_changed(entry *en, int64_t now) {
   pw_feed_state st;
   const pw_res *r = pwsub_resources(en->sub);
@@ -350,7 +351,7 @@
 }
 
 /* Handles heartbeats and time-outs. It is not called while the loop catches up
-** after a stall, when peers only seem silent. */
+** after a stall, when messages of peers wait unread and peers seem silent. */
 static void check_timeouts(entry *en, int64_t now) {
   send_hello(en, now);
   pwfeed_expire(en->feed, on_child_left, en, now);
@@ -394,11 +395,11 @@
   return pwflight_count(en->flights) == 0 && pwserve_active(en->http) == 0;
 }
 
-/* After a stall the messages read are older than they seem: a load that they
-** report is taken to be as old as the stall. */
+/* Messages that are read after a stall may have waited unread for as long as it
+** lasted, so the loads that they report are dated back by its length. */
 static void note_stall(entry *en, int64_t now) {
   int64_t stall_ms = pwlag_iteration(&en->lag, now);
-  en->unread_ms = stall_ms ? stall_ms + TURN_MS : 0;
+  en->unread_ms = stall_ms ? stall_ms + ITERATION_MAX_MS : 0;
   pwfeed_discount_stall(en->feed, stall_ms);
 }
 
@@ -460,7 +461,7 @@
 }
 
 pw_code pwentry_run(pw_proc *p, pw_buf *err) {
-  entry en = {.p = p, .lag.iteration_max_ms = TURN_MS};
+  entry en = {.p = p, .lag.iteration_max_ms = ITERATION_MAX_MS};
   pw_code rc = PW_E_SETTINGS;
   pthread_mutex_init(&en.lock, NULL);
   en.listener = pwwire_listen(p->wire, p->set->entry_wire, err);
--- a/packages/entry/pwfl.h
+++ b/packages/entry/pwfl.h
@@ -49,8 +49,8 @@
   pw_code last_code;         /* code of the last refusal */
   uint32_t retry_after;      /* shortest wait in a refusal, ms; 0: none */
   uint32_t refused_wait, refused_worth; /* of the last refusal, ms */
-  uint32_t kv_tokens; /* cached prefix that another engine may take over ... */
-  char kv_url[PWFL_URL];    /* ... from the full target at this URL */
+  uint32_t kv_tokens;       /* cached tokens that another engine may copy */
+  char kv_url[PWFL_URL];    /* URL of the busy target that has it cached */
   char origin[PW_NAME_MAX]; /* first attempt of a resumed stream, or "" */
   int not_run; /* F_RECORDING: the claim is released, as nothing was run */
   int status;
@@ -75,7 +75,8 @@
 /* Removes and frees a request whose caller needs nothing more from it. */
 void pwfl_drop(pw_flights *fs, pw_flight *f);
 
-/* Draws a new attempt id for a request and moves it in the table. */
+/* Gives the request a new random attempt id and files it in the table under this
+** id. */
 void pwfl_new_attempt_id(pw_flights *fs, pw_flight *f);
 
 /* The target of the current attempt, or NULL. */
@@ -87,16 +88,15 @@
 /* Sends a message to a target's agent unless there is no link to it. */
 void pwfl_send_to(pw_flights *fs, const pw_target *t, Pw__Envelope *e);
 
-/* Tells the agent to cancel the current attempt. */
+/* Sends the agent a Cancel of the current attempt. */
 void pwfl_send_cancel(pw_flights *fs, const pw_flight *f);
 
-/* Ends the current attempt for its target, which then counts one attempt in
-** flight less. */
+/* Removes the current attempt from its target's count of attempts in flight. */
 void pwfl_release(pw_flights *fs, pw_flight *f);
 
 /* Ends a request. One with a claim is kept until the once-ledger has recorded
-** the answer (whole) or released the claim (not_run). */
-void pwfl_settle(pw_flights *fs, pw_flight *f, int whole, int not_run,
+** the answer (complete) or released the claim (not_run). */
+void pwfl_settle(pw_flights *fs, pw_flight *f, int complete, int not_run,
                  int64_t now);
 
 /* Fails the request with a code. The outcome is not-run only when it is proved
@@ -106,8 +106,8 @@
 /* Ends a request whose answer is complete. */
 void pwfl_finish(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* Picks the next target: one of the call's own version, else one of the other version while a rollout
-** has two, else one where an attempt has failed before. NULL: no target is left. */
+/* Picks the next target: one of the call's own version, else one of the other version during a rollout,
+** else one where an attempt has failed before. NULL: no target is left. */
 pw_target *pwfl_pick(pw_flights *fs, pw_flight *f, const pw_policy *policy,
                      int64_t now);
 
@@ -127,7 +127,7 @@
 /* Pause before the next pwfl_reask, ms. */
 int64_t pwfl_reask_ms(const pw_flight *f);
 
-/* Goes on to the next target after an attempt that provably was not started. */
+/* Continues at the next target after an attempt that provably was not started. */
 void pwfl_hop(pw_flights *fs, pw_flight *f, pw_code code,
               const pw_policy *policy, int64_t now);
 
@@ -152,7 +152,7 @@
 /* Sends the resuming attempt after the pause of F_PAUSING. */
 void pwfl_end_pause(pw_flights *fs, pw_flight *f, int64_t now);
 
-/* Tells the agent the offset up to which the caller has read. */
+/* Sends the agent the offset up to which the caller has read. */
 void pwfl_send_credit(pw_flights *fs, pw_flight *f, uint64_t offset);
 
 /* Breaks off every attempt at a target whose link was lost or whose agent was
--- a/packages/entry/pwflight.c
+++ b/packages/entry/pwflight.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CLAIM_RETRY_MS 300      /* unanswered Claims and Records are resent */
+#define CLAIM_RETRY_MS 300 /* until an unanswered Claim or Record is resent */
 #define CLAIM_GIVE_UP_MS 6000   /* then the caller gets PW_E_NOT_LEADER */
 #define RECORD_GIVE_UP_MS 30000 /* then the claim stays unsettled */
 #define GONE_CHECK_MS 500       /* between checks of a caller's connection */
@@ -237,8 +237,8 @@
     cancel_abandoned(fs, f);
 }
 
-/* Pings silent links that have attempts in flight, and hangs up those that owe
-** an answer for too long. */
+/* Pings silent links that have attempts in flight, and closes those whose Ping
+** has gone unanswered for too long. */
 static void tick_links(pw_flights *fs, const pw_policy *policy, int64_t now) {
   int n;
   pw_target **all = pwtargets_all(fs->targets, &n);
@@ -248,10 +248,11 @@
       continue;
     if (pwtargets_unanswered_ms(t, now) > PW_LINK_LOST - PW_LINK_PING) {
       pwevent_add(fs->p->events, PWE_LINK_DOWN, 0, NULL, NULL, t->name,
-                  "no message for %lld ms", (long long)(now - t->link_heard));
+                  "no message for %lld ms",
+                  (long long)(now - t->link_received_at));
       pwtargets_disconnect(fs->targets, t);
       pwfl_break_all(fs, t, PW_E_TIMEOUT, policy, now);
-    } else if (now - t->link_heard > PW_LINK_PING &&
+    } else if (now - t->link_received_at > PW_LINK_PING &&
                now - t->pinged_at > PW_LINK_PING) {
       pwtargets_ping(fs->targets, t, now);
     }
--- a/packages/entry/pwpicking.c
+++ b/packages/entry/pwpicking.c
@@ -43,17 +43,17 @@
 }
 
 /* Next target of the call's own version, then of the other version. While another version may have a
-** working target, ejected targets of this one are passed over: otherwise a version that fails everywhere
-** would use up the retries. */
+** working target, ejected targets of the own version are skipped: otherwise a version that fails
+** everywhere would use up the retry budget. */
 static pw_target *pick_of_versions(pw_flights *fs, pw_flight *f,
                                    const pw_policy *policy, int64_t now) {
   f->walk.avoid_ejected = has_other_version(f);
   pw_target *t = pick_target(fs, f, policy, now);
-  int was_choosy = f->walk.avoid_ejected;
+  int avoided_ejected = f->walk.avoid_ejected;
   f->walk.avoid_ejected = 0;
   if (!t && pwfl_switch_version(f))
     t = pick_target(fs, f, policy, now);
-  if (t || !was_choosy)
+  if (t || !avoided_ejected)
     return t;
   if (!has_other_version(f))
     restart_walk(f); /* the other version has no target */
--- a/packages/entry/pwreport.c
+++ b/packages/entry/pwreport.c
@@ -15,13 +15,13 @@
 #define REFRESH_MS 5000    /* an unchanged load is resent after this time */
 #define ROWS_MAX 256       /* loads in one message */
 #define SUSPECTS_MS 100    /* between messages on suspects, as at gateways */
-#define OWN_MS 15000       /* an agent that reported here within this is ours */
+#define OWN_MS 15000 /* an agent is ours this long after its last report */
 
 /* A target whose agent reports to this entry. */
-typedef struct own {
+typedef struct own_target {
   uint64_t id;
   int64_t at; /* newest report */
-} own;
+} own_target;
 
 struct pw_reports {
   pw_proc *p;
@@ -32,7 +32,7 @@
   pw_bucket bucket;
   int64_t sent;             /* last message with loads */
   int64_t suspects_sent_at; /* last message with suspects */
-  own *own_targets;
+  own_target *own_targets;
   int nown;
   int cap;
 };
@@ -65,12 +65,12 @@
     }
   if (r->nown == r->cap) {
     r->cap = r->cap ? r->cap * 2 : 32;
-    own *grown = realloc(r->own_targets, sizeof *grown * (size_t)r->cap);
+    own_target *grown = realloc(r->own_targets, sizeof *grown * (size_t)r->cap);
     if (!grown)
       abort();
     r->own_targets = grown;
   }
-  r->own_targets[r->nown++] = (own){id, now};
+  r->own_targets[r->nown++] = (own_target){id, now};
 }
 
 void pwreport_child(pw_reports *r, const Pw__Load *load, int64_t at,
--- a/packages/entry/pwtargets.c
+++ b/packages/entry/pwtargets.c
@@ -14,7 +14,7 @@
 #include <uthash.h>
 #include <xxhash.h>
 
-#define TABLE_THREADS 3      /* that build tables besides the wire thread */
+#define TABLE_THREADS 3 /* that build placement tables beside the wire thread */
 #define CLOCK_MARGIN_PPM 200 /* largest drift between two clocks */
 
 /* A target without a report for this long counts as unresponsive. */
@@ -129,8 +129,8 @@
   row *r = pw_alloc(sizeof *r);
   r->t.id = id;
   pw_copy(r->t.name, sizeof r->t.name, name);
-  r->t.link_heard = INT64_MIN / 2;
-  r->t.heard = INT64_MIN / 2;
+  r->t.link_received_at = INT64_MIN / 2;
+  r->t.newest_report_at = INT64_MIN / 2;
   r->t.pinged_at = INT64_MIN / 2;
   pwbreak_init(&r->t.breaker, now, 0);
   HASH_ADD(hh, t->rows, t.id, sizeof r->t.id, r);
@@ -378,7 +378,7 @@
   if (load->turned_away)
     pwreject_note(&one->rejects, at);
   one->pending = 0;
-  one->heard = at;
+  one->newest_report_at = at;
   return restarted;
 }
 
@@ -393,17 +393,18 @@
   ping.clock = now;
   Pw__Envelope e = PW_ENVELOPE(PING, ping, &ping);
   pwwire_send(t->sock, &one->peer, &e);
-  if (one->pinged_at <= one->link_heard)
+  if (one->pinged_at <= one->link_received_at)
     one->unanswered_since = now;
   one->pinged_at = now;
 }
 
 int64_t pwtargets_unanswered_ms(const pw_target *one, int64_t now) {
-  return one->pinged_at > one->link_heard ? now - one->unanswered_since : 0;
+  return one->pinged_at > one->link_received_at ? now - one->unanswered_since
+                                                : 0;
 }
 
 int pwtargets_is_fresh(const pw_target *one, int64_t now) {
-  return one->link == PW_LINK_UP && now - one->link_heard < PW_LINK_FRESH;
+  return one->link == PW_LINK_UP && now - one->link_received_at < PW_LINK_FRESH;
 }
 
 void pwtargets_disconnect(pw_targets *t, pw_target *one) {
@@ -411,7 +412,7 @@
     return;
   pwwire_disconnect(t->sock, one->agent);
   one->link = PW_LINK_NONE;
-  one->link_heard = INT64_MIN / 2;
+  one->link_received_at = INT64_MIN / 2;
 }
 
 int64_t pwtargets_clock(const pw_target *one, int64_t now) {
@@ -419,14 +420,14 @@
   return one->clock + passed - passed * CLOCK_MARGIN_PPM / 1000000;
 }
 
-/* Whether nothing is heard of the target: its link does not come up, or no report
-** has arrived for ALIVE_MS. */
+/* Whether the target counts as unresponsive: its link does not open in time, or
+** no report of it was made for ALIVE_MS. */
 static int is_unresponsive(const pw_target *one, int64_t now) {
   if (one->link == PW_LINK_UP)
     return 0;
   if (one->link == PW_LINK_OPENING && now - one->dialled_at > PW_LINK_OPEN)
     return 1;
-  return one->incarnation != 0 && now - one->heard > ALIVE_MS;
+  return one->incarnation != 0 && now - one->newest_report_at > ALIVE_MS;
 }
 
 /* Whether the target has asked for a hold-off, or has recently rejected requests
--- a/packages/entry/pwtargets.h
+++ b/packages/entry/pwtargets.h
@@ -29,16 +29,16 @@
 
   pw_link_state link;
   pw_peer peer;
-  int64_t link_heard;       /* last message over the link */
+  int64_t link_received_at; /* last message over the link */
   int64_t pinged_at;        /* last Ping sent */
-  int64_t unanswered_since; /* first Ping sent since link_heard */
+  int64_t unanswered_since; /* first Ping sent since link_received_at */
   int64_t dialled_at;       /* when the link was dialled */
   int in_flight;            /* attempts of this entry */
 
-  int64_t heard; /* when the newest report was made, whoever forwarded it */
+  int64_t newest_report_at; /* when it was made, whoever forwarded it */
   uint64_t incarnation;
-  int64_t clock;    /* lower bound of the agent's clock ... */
-  int64_t clock_at; /* ... at this time of our clock */
+  int64_t clock;    /* lower bound of the agent's clock at clock_at, ms */
+  int64_t clock_at; /* time of our clock to which `clock` belongs */
   int leaving;      /* the agent reports that it takes no new work */
   pw_report report;
   double pending; /* tokens this entry sent since the report */
@@ -46,7 +46,7 @@
   uint32_t retry_after;
   int64_t hold_off_until; /* end of the hold-off that the target asked for */
   pw_reject rejects;      /* recent rejections although the target had room */
-  int changed;            /* since the load was last reported to the peers */
+  int changed;            /* the load has changed since reported_at */
   int64_t reported_at;    /* when the load was last reported to the peers */
   pw_breaker breaker;
 } pw_target;
@@ -77,11 +77,12 @@
 /* Sends the agent a Ping, over a new link if there is none. */
 void pwtargets_ping(pw_targets *t, pw_target *one, int64_t now);
 
-/* Whether the agent was heard over the link recently enough to send a Run. */
+/* Whether a message of the agent arrived over the link recently enough to send a
+** Run. */
 int pwtargets_is_fresh(const pw_target *one, int64_t now);
 
-/* How long the first unanswered Ping has been waiting, ms; 0: all are answered.
-** So a link that was merely idle does not count as silent. */
+/* Time since the first unanswered Ping, ms; 0 when all are answered. A link that
+** was merely idle thus does not count as silent. */
 int64_t pwtargets_unanswered_ms(const pw_target *one, int64_t now);
 
 /* Closes the link to the target, if there is one. */
--- a/tests/test_cache.c
+++ b/tests/test_cache.c
@@ -1,5 +1,5 @@
-/* test_cache.c: an agent's estimate of its target's prefix cache must stay right
-** when cache events arrive late, twice or with gaps. */
+/* test_cache.c: an agent's estimate of its target's prefix cache must stay
+** correct when cache events arrive late, twice or with gaps. */
 #include "pwbuf.h"
 #include "pwcache.h"
 #include "pwkvfeed.h"
@@ -58,8 +58,8 @@
   CHECK(apply(&c, 7, 0, 0, NULL, 0, 12) == 0);   /* event 11 is still missing */
   pwcache_note(&c, "c2", 50, 0, 0, 20);
   pwcache_note(&c, "c3", 60, 0, 0, 40);
-  pw_cache_event held = event_of(0, 1, 90, 10);
-  CHECK(apply(&c, 7, 1, 30, &held, 1, 12) == 1);
+  pw_cache_event cached = event_of(0, 1, 90, 10);
+  CHECK(apply(&c, 7, 1, 30, &cached, 1, 12) == 1);
   CHECK(pwcache_expect(&c, "c1", 50) == 90);
   CHECK(pwcache_expect(&c, "c2", 50) == 0);    /* not in the snapshot */
   CHECK(pwcache_expect(&c, "c3", 50) == 60);   /* served after the snapshot */
