--- a/tests/mixed_builds.lua
+++ b/tests/mixed_builds.lua
@@ -138,12 +138,12 @@
   end
 end
 serve("other build")
-local version = g:publish(g:site())
+local version = g:publish(g:config())
 g:wait_in_force(version)
 stop_all({g.gateways, g.control})
 use_all({g.control, g.gateways}, run.bin)
 start_all({g.control, g.gateways})
-fleet.equal("configuration of the other build", fleet.eventually("a read", function() return g:held() end).version, version)
+fleet.equal("configuration of the other build", fleet.eventually("a read", function() return g:stored_config() end).version, version)
 g:wait_in_force(version)
 g:wait_ready()
 serve("on the other build's data")
@@ -153,7 +153,7 @@
   local handles = {}
   for _, t in ipairs(g.targets) do t:fault("gap=300") end
   for i = 1, 4 do handles[i] = run.http_start((g:call{path = "/chat/s", events = 8, body = what .. i, gateway = g.gateways[1]})) end
-  fleet.eventually(what .. ": the other gateway is told of 4 streams", function()
+  fleet.eventually(what .. ": the other gateway knows of 4 streams", function()
     return g.gateways[2]:counter("gateway_others") == 4
   end)
   for _, h in ipairs(handles) do run.http_wait(h) end
@@ -173,7 +173,7 @@
   for _, p in ipairs(g.gateways) do
     fleet.eventually(what .. ": " .. p.name .. " knows all targets", function() return p:counter("gateway_targets") >= #g.targets end)
   end
-  version = g:publish(g:site())
+  version = g:publish(g:config())
   g:wait_in_force(version)
   serve(what)
   knows_streams(what)
