--- a/tests/scenarios/03_not_run.lua
+++ b/tests/scenarios/03_not_run.lua
@@ -17,7 +17,7 @@
 portal:kill()
 local r = charge("refused")
 fleet.equal("outcome, target down", r["Peatwell-Outcome"], "not-run")
-fleet.expect("told when to retry", tonumber(r["Retry-After"] or 0) >= 1)
+fleet.expect("the refusal says when to retry", tonumber(r["Retry-After"] or 0) >= 1)
 portal:start()
 fleet.eventually("a resend under the same key runs", function()
   return charge("refused")["Peatwell-Outcome"] == "done"
@@ -34,7 +34,7 @@
 fleet.equal("outcome, agent dead", r["Peatwell-Outcome"], "not-run")
 agent:start()
 f:wait_ready(agent)
-fleet.eventually("it runs then", function() return charge("agent-dead")["Peatwell-Outcome"] == "done" end)
+fleet.eventually("the charge runs after the restart of the agent", function() return charge("agent-dead")["Peatwell-Outcome"] == "done" end)
 fleet.equal("runs", runs(), 2)
 
 -- The service runs the request and closes without an answer: the outcome is unknown and it never runs a
--- a/tests/scenarios/04_once.lua
+++ b/tests/scenarios/04_once.lua
@@ -37,7 +37,7 @@
 -- The same key with another body is refused.
 local r = f:once{once = "race-1", body = "another body"}
 fleet.equal("reused key", r["Peatwell-Code"], "4006")
-fleet.equal("its outcome", r["Peatwell-Outcome"], "not-run")
+fleet.equal("outcome for the reused key", r["Peatwell-Outcome"], "not-run")
 
 -- The entry is killed while the service works: a resend through the other entry does not run the request
 -- again.
@@ -48,7 +48,7 @@
 run.http_wait(h)
 r = f:once{entry = f.entries[2], once = "entry-dies", body = "mark entry-dies"}
 fleet.equal("resend after the entry died", r["Peatwell-Outcome"], "unknown")
-fleet.equal("its code", r["Peatwell-Code"], "4007")
+fleet.equal("code of the resend after the entry died", r["Peatwell-Code"], "4007")
 f.entries[1]:start()
 f:wait_ready(f.entries[1])
 
--- a/tests/scenarios/07_disk.lua
+++ b/tests/scenarios/07_disk.lua
@@ -91,7 +91,7 @@
   if r.status ~= 200 then refused = r break end
 end
 fleet.expect("a change is refused when the disk is full", refused ~= nil)
-fleet.equal("its code", refused["Peatwell-Code"], "5003")
+fleet.equal("code of a change with a full disk", refused["Peatwell-Code"], "5003")
 fleet.equal("status of a read with a full disk", run.http{url = "http://" .. g.control[1].health, path = "/v1/resources"}.status, 200)
 local o = {text = "still served"}
 fleet.expect("a chat is answered with a full disk", fleet.is_answer(g:ask(o), o))
--- a/tests/scenarios/10_keys.lua
+++ b/tests/scenarios/10_keys.lua
@@ -29,7 +29,7 @@
 local text = p:read("a")
 local _, _, code = p:close()
 fleet.equal("exit code for a readable key: " .. text, code, 3)
-fleet.expect("the reason", text:find("others can read"))
+fleet.expect("the error gives the reason", text:find("others can read"))
 os.execute("chmod 600 " .. f.dir .. "/agent-engine-1.key")
 f:stop()
 
--- a/tests/scenarios/14_backup.lua
+++ b/tests/scenarios/14_backup.lua
@@ -62,7 +62,7 @@
 -- It is not known whether the charge ran: it is refused until the operator allows it.
 local again = charge()
 fleet.equal("the charge's resend", again["Peatwell-Code"], "4012")
-fleet.equal("its outcome", again["Peatwell-Outcome"], "not-run")
+fleet.equal("outcome of the charge's resend", again["Peatwell-Outcome"], "not-run")
 fleet.expect("Retry-After is set", tonumber(again["Retry-After"]))
 fleet.equal("runs of the charge", portal:stats().total, 1)
 text, code = f:peatwell("restore " .. file)
--- a/tests/scenarios/15_callers.lua
+++ b/tests/scenarios/15_callers.lua
@@ -26,7 +26,7 @@
 engine:fault("slow=1")
 local cancels = engine:stats().cancels
 run.http(f:chat{text = "goes away", stream = true, max_tokens = 9000, give_up = 20000})
-fleet.eventually("its stream is cancelled", function() return engine:stats().cancels > cancels end)
+fleet.eventually("the stream of the disconnected caller is cancelled", function() return engine:stats().cancels > cancels end)
 fleet.eventually("nothing is in progress", function()
   return entry:counter("active_requests") == 0 and f.agents[1]:counter("active_requests") == 0
 end)
--- a/tests/scenarios/19_kv.lua
+++ b/tests/scenarios/19_kv.lua
@@ -20,7 +20,7 @@
   fleet.expect("the first turn", fleet.is_answer(r, first))
   local busy = {text = "busy", chat = chat, history = {first.text}, stream = true, max_tokens = 60}
   local h = run.http_start(f:chat(busy))
-  fleet.eventually("its target is busy", function() return sum("active") == 1 end)
+  fleet.eventually("the target of the chat is busy", function() return sum("active") == 1 end)
   local o = {text = "and then", chat = chat, history = {first.text}, max_tokens = 2, entry = f.entries[2]}
   local second = f:ask(o)
   fleet.expect("the second turn", fleet.is_answer(second, o))
--- a/tests/scenarios/22_cache_events.lua
+++ b/tests/scenarios/22_cache_events.lua
@@ -25,7 +25,7 @@
   local a = agent(target)
   local before = a:counter("cache_events_total")
   a.engine:fault("evict=1")
-  fleet.eventually("its agent has received the event", function() return a:counter("cache_events_total") > before end)
+  fleet.eventually("the agent has received the event", function() return a:counter("cache_events_total") > before end)
 end
 local function sum(name)
   local n = 0
--- a/tests/scenarios/25_gateway_faults.lua
+++ b/tests/scenarios/25_gateway_faults.lua
@@ -99,7 +99,7 @@
 all("engine", "cut=1")
 local s = g:ask{path = "/chat/x", events = 12, body = "q"}
 fleet.expect("a cut stream does not look complete", not s.whole)
-fleet.expect("its events are in order", s.body:find("^id: 1\n"))
+fleet.expect("the events begin with the first", s.body:find("^id: 1\n"))
 fleet.expect("no half event", s.body:find("\n\n$"))
 clear("engine", "cut")
 
@@ -121,6 +121,6 @@
 clear("portal", "mute")
 
 -- All targets serve again, and no target has run a stream twice.
-fleet.eventually("all serve again", function() return g:ask{path = "/safe/a", method = "GET"}.status == 200 end)
+fleet.eventually("requests are served again", function() return g:ask{path = "/safe/a", method = "GET"}.status == 200 end)
 fleet.equal("runs of one request", g:most_runs("engine"), 1)
 g:stop()
--- a/tests/scenarios/26_gateway_dark.lua
+++ b/tests/scenarios/26_gateway_dark.lua
@@ -9,7 +9,7 @@
 -- A target leaves: after its leaving is acknowledged, no gateway sends it new work.
 local leaving = g["engine-1"]
 leaving:fault("leaving=1")
-fleet.eventually("its leaving is acknowledged", function() return leaving:stats().leaving_acked > 0 end)
+fleet.eventually("the leaving of the target is acknowledged", function() return leaving:stats().leaving_acked > 0 end)
 local function expect_no_new_work(t, path, o)
   local before
   fleet.eventually("no new work for " .. t.name, function()
@@ -65,7 +65,7 @@
 
 -- After it continues, it gets work again.
 suspended:fault("gap=0")
-fleet.eventually("it serves again", function()
+fleet.eventually("the target serves again after its suspension", function()
   local before = suspended:stats().total
   for i = 1, 10 do g:ask{path = "/chat/x", events = 2, body = "q", gateway = g.gateways[i % 2 + 1]} end
   return suspended:stats().total > before
@@ -89,7 +89,7 @@
 receiver:continue()
 for i = 2, 3 do
   fleet.eventually(g.control[i].name .. " has it back", function() return count_lines(g.control[i], "target%-back") > before[i] end)
-  fleet.expect("its service is still known: " .. fleet.read(g.control[i].log), not fleet.read(g.control[i].log):find("target%-back [^\n]*service= "))
+  fleet.expect("the service of the target is still known: " .. fleet.read(g.control[i].log), not fleet.read(g.control[i].log):find("target%-back [^\n]*service= "))
 end
 
 -- The same for so long that the other control instances forget the targets.
--- a/tests/scenarios/33_gateway_early.lua
+++ b/tests/scenarios/33_gateway_early.lua
@@ -18,19 +18,19 @@
   calls[i] = run.http_start(g:call{path = path, method = "POST", body = "x", deadline = 120000, timeout = 60})
 end
 local function awaiting() return gateway:counter("gateway_awaiting") end
-fleet.eventually("all wait", function() return awaiting() == EARLY end)
+fleet.eventually("all requests wait", function() return awaiting() == EARLY end)
 
 -- A request waits at most a third of its deadline.
 local short = g:ask{path = "/once/a", body = "x", deadline = 300}
 fleet.equal("a request with a short deadline is refused", short.status, 503)
-fleet.expect("its Retry-After is set", tonumber(short["Retry-After"]) > 0)
+fleet.expect("Retry-After of the refusal is set", tonumber(short["Retry-After"]) > 0)
 
 -- A caller that disconnects waits no longer.
 local leaving = run.raw_open(gateway.http)
 run.raw_send(leaving, "GET /safe/a HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: leaver\r\nApi-Key: kett-key\r\n\r\n")
 fleet.eventually("the request of the caller that will leave waits", function() return awaiting() == EARLY + 1 end)
 run.raw_close(leaving)
-fleet.eventually("it no longer waits", function() return awaiting() == EARLY end)
+fleet.eventually("the request of the disconnected caller no longer waits", function() return awaiting() == EARLY end)
 
 for _, c in ipairs(g.control) do c:continue() end
 for i = 1, EARLY do fleet.equal("early request " .. i, run.http_wait(calls[i]).status, 200) end
--- a/tests/scenarios/36_many_callers.lua
+++ b/tests/scenarios/36_many_callers.lua
@@ -23,7 +23,7 @@
     fleet.eventually(i .. " were answered", function() return g:sum("portal", "total") == i end)
   end
 end
-fleet.equal("one more is answered", g:ask{path = "/once/a", body = "x"}.status, 200)
+fleet.equal("one more request is answered", g:ask{path = "/once/a", body = "x"}.status, 200)
 fleet.expect("connections stay below the limit of descriptors", gateway:counter("gateway_clients") < DESCRIPTORS)
 local r = run.http_wait(stream)
 r.id = streamed.headers["X-Request-Id"]
--- a/tests/scenarios/41_evacuate.lua
+++ b/tests/scenarios/41_evacuate.lua
@@ -62,7 +62,7 @@
 for _, c in ipairs(g.control) do c:start() end
 g:wait_ready()
 local code
-fleet.eventually("it is still evacuated", function()
+fleet.eventually("az-2 is still evacuated after the restart", function()
   text = peatwell("get evacuation")
   return text:find("az%-2")
 end)
@@ -83,7 +83,7 @@
 in_force("az-2,az-1")
 local r = g:ask{path = "/safe/a", method = "GET"}
 fleet.equal("refused", r.status, 503)
-fleet.equal("its code", r["Peatwell-Code"], "2005")
+fleet.equal("code while both availability zones are evacuated", r["Peatwell-Code"], "2005")
 
 -- The evacuations are ended by the command line and by the platform, and once more.
 text, code = peatwell("evacuate az-1 --end")
--- a/tests/scenarios/43_crashing_request.lua
+++ b/tests/scenarios/43_crashing_request.lua
@@ -55,8 +55,8 @@
 local p = g.gateways[2]
 p:kill()
 p:start()
-fleet.eventually("it serves again", function() return p:get("/ready").status == 200 end)
-fleet.eventually("it knows all quarantined requests", function() return p:counter("quarantined") == #KINDS end)
+fleet.eventually("the restarted gateway serves again", function() return p:get("/ready").status == 200 end)
+fleet.eventually("the restarted gateway knows all quarantined requests", function() return p:counter("quarantined") == #KINDS end)
 local r = g:ask{path = "/once/crash", body = "crash 3", gateway = p}
 fleet.equal("status at the restarted gateway", r.status, 503)
 fleet.equal("crashed targets in all", count_crashed(), MAX_CRASHES * #KINDS)
--- a/tests/scenarios/46_crashing_or_failing.lua
+++ b/tests/scenarios/46_crashing_or_failing.lua
@@ -20,14 +20,14 @@
   elseif r.status == 503 and run.json(r.body).error.name == "quarantined" then
     refused = refused + 1
   elseif r.status == 502 then
-    fleet.eventually("its target has crashed", function() return count_crashed() > before end)
+    fleet.eventually("the target of the request has crashed", function() return count_crashed() > before end)
   end
   local crashed = count_crashed()
-  fleet.expect("it crashes " .. MAX_CRASHES .. " targets, not " .. crashed, crashed <= MAX_CRASHES)
+  fleet.expect("the request crashes " .. MAX_CRASHES .. " targets, not " .. crashed, crashed <= MAX_CRASHES)
   for _, p in ipairs(g.gateways) do wait_ends_counted(p, crashed) end
   if refused > 4 then break end
 end
 fleet.equal("crashed targets", count_crashed(), MAX_CRASHES)
-fleet.expect("refused afterwards: " .. refused, refused > 4)
-fleet.expect("it also failed with 500", failed > 0)
+fleet.expect("requests refused afterwards: " .. refused, refused > 4)
+fleet.expect("the request also failed with 500", failed > 0)
 g:stop()
--- a/tests/scenarios/47_quarantine_kept.lua
+++ b/tests/scenarios/47_quarantine_kept.lua
@@ -21,7 +21,7 @@
 
 for i = 1, MAX_CRASHES do
   ask(1)
-  fleet.eventually("its target has crashed", function() return count_crashed() == i end)
+  fleet.eventually("the target of the request has crashed", function() return count_crashed() == i end)
 end
 all_know(g.gateways)
 all_know(g.control)
--- a/tests/scenarios/48_unknown_is_not_refused.lua
+++ b/tests/scenarios/48_unknown_is_not_refused.lua
@@ -5,5 +5,5 @@
 f:start()
 local r = run.http(f:chat({text = "crash-engine"}))
 fleet.equal("outcome of a request that may have run", r["Peatwell-Outcome"], "unknown")
-fleet.expect("its status does not promise that it has not run: " .. r.status, r.status ~= 503 and r.status ~= 429 and r.status ~= 408)
+fleet.expect("the status does not promise that the request has not run: " .. r.status, r.status ~= 503 and r.status ~= 429 and r.status ~= 408)
 f:stop()
--- a/tests/scenarios/50_suspended.lua
+++ b/tests/scenarios/50_suspended.lua
@@ -20,10 +20,10 @@
   o.gateway, o.deadline = p, 8000
   calls[i] = run.http_start((g:call(o)))
 end
-fleet.eventually("all are at a target", function() return g:sum("", "total") >= 3 end)
+fleet.eventually("all requests are at a target", function() return g:sum("", "total") >= 3 end)
 -- A request with the same deadline at the other gateway, which is not suspended, ends at its own deadline.
 local other = run.http_start((g:call{path = "/again/a", events = 3, gateway = g.gateways[2], deadline = 8000}))
-fleet.eventually("it is at a target", function() return g:sum("", "total") >= 4 end)
+fleet.eventually("the request of the other gateway is at a target", function() return g:sum("", "total") >= 4 end)
 p:signal("USR2")
 for i, c in ipairs(calls) do
   local r = run.http_wait(c)
--- a/tests/scenarios/51_not_told_yet.lua
+++ b/tests/scenarios/51_not_told_yet.lua
@@ -25,13 +25,13 @@
   return f:ask(o), o
 end
 -- Once the entry knows the model, requests for it must be answered.
-fleet.eventually("the entry knows it", function()
+fleet.eventually("the entry knows the model", function()
   local r, o = ask("second")
   if r.status == 404 then return false end
   fleet.expect("a complete answer, not " .. r.status .. " " .. tostring(r.body), fleet.is_answer(r, o))
   return true
 end)
-fleet.expect("agents refused it at first", f.entries[1]:counter("refused_hops_total") > 0)
+fleet.expect("agents refused the model at first", f.entries[1]:counter("refused_hops_total") > 0)
 
 -- A model that no target will serve is still refused, and without an attempt: no target is declared for it.
 out, code = f:apply('[[resource]]\nkind = "model"\nname = "third"\n')
--- a/tests/scenarios/56_hold_off_agent.lua
+++ b/tests/scenarios/56_hold_off_agent.lua
@@ -85,7 +85,7 @@
 fleet.eventually("no target is left", function()
   local r = chat()
   fleet.equal("refused", r.status, 503)
-  fleet.equal("its outcome", r["Peatwell-Outcome"], "not-run")
+  fleet.equal("outcome while all engines hold off", r["Peatwell-Outcome"], "not-run")
   retry_after = tonumber(r["Retry-After"])
   local both = by_name["engine-1"]:stats().shed > before[1] and by_name["engine-2"]:stats().shed > before[2]
   return both and retry_after and retry_after >= 60 -- the longest Retry-After that is sent
--- a/tests/scenarios/57_observers.lua
+++ b/tests/scenarios/57_observers.lua
@@ -77,7 +77,7 @@
 local acknowledging = g.control[numbers[1]]
 local target = g["portal-" .. numbers[1]]
 target:fault("leaving=1")
-fleet.eventually("its leaving is acknowledged", function() return target:stats().leaving_acked > 0 end)
+fleet.eventually("the leaving of the target is acknowledged", function() return target:stats().leaving_acked > 0 end)
 acknowledging:kill()
 everyone_logs("ev=target%-leaving target=i%-portal%-" .. numbers[1] .. " ")
 
@@ -108,8 +108,8 @@
 isolated:start()
 r = target_call(isolated, "PUT", "i-lost", '{"service":"portal","address":"127.0.0.1:9","zone":"az-1","slots":1,"state":"ready","seq":1}')
 fleet.equal("refused", r.status, 503)
-fleet.equal("its code", r["Peatwell-Code"], "4014")
-fleet.equal("it counts itself as isolated", isolated:counter("control_unheard"), 1)
+fleet.equal("code at the isolated instance", r["Peatwell-Code"], "4014")
+fleet.equal("the isolated instance counts itself as isolated", isolated:counter("control_unheard"), 1)
 
 -- All control instances are killed at once and restarted.
 for _, c in ipairs(all) do c:kill() end
--- a/tests/scenarios/gateways.lua
+++ b/tests/scenarios/gateways.lua
@@ -203,15 +203,15 @@
 
 -- Builds a request. Fields of o: path, method, gateway, key (false: none), events, body, headers, deadline,
 -- and the fields of run.http.
-local asked = 0
+local request_count = 0
 function gateways:call(o)
-  asked = asked + 1
-  local id = o.id or string.format("req%06d", asked)
+  request_count = request_count + 1
+  local id = o.id or string.format("req%06d", request_count)
   local headers = {Host = "a.example", ["X-Request-Id"] = id, ["X-Deadline-Ms"] = tostring(o.deadline or 10000)}
   if o.key ~= false then headers["Api-Key"] = o.key or "kett-key" end
   if o.events then
     headers["X-Model"], headers["X-Token-Count"] = "m", "100," .. o.events
-    headers["X-Prompt-Prefix"] = o.prefix or string.format("a1:50,%x:40,ff%x:10", asked, asked)
+    headers["X-Prompt-Prefix"] = o.prefix or string.format("a1:50,%x:40,ff%x:10", request_count, request_count)
   end
   for k, v in pairs(o.headers or {}) do headers[k] = v end
   return {url = "http://" .. (o.gateway or self.gateways[1]).http, method = o.method or "POST", path = o.path,
--- a/tests/soak.lua
+++ b/tests/soak.lua
@@ -9,7 +9,7 @@
 local PROCESSES = tonumber(os.getenv("PROCESSES") or "14")
 local BATCH = 8         -- concurrent calls
 local DRAIN_MS = 2000   -- after its acknowledgement a leaving target gets no new requests
-local RECOVER_MS = 60000 -- all is served again within this time after the last fault
+local RECOVER_MS = 60000 -- every request is served again within this time after the last fault
 print("seed " .. SEED)
 
 -- A random generator of its own: a seed gives the same sequence on every machine.
@@ -22,7 +22,7 @@
 
 local engines = math.max(2, (PROCESSES - 5) // 3)
 local portals = math.max(2, (PROCESSES - 5) // 5)
--- Seeds below 500 play as they were recorded: without several availability zones.
+-- Seeds below 500 repeat runs that were recorded with a single availability zone.
 local HAS_ZONES = SEED >= 500
 local zones = {}
 for i = 1, HAS_ZONES and engines or 0 do zones["engine-" .. i] = "az-" .. i % 2 + 1 end
@@ -31,12 +31,12 @@
   engines = engines, portals = portals, relays = true, zones = zones}
 g:start(HAS_ZONES and function(s) s.cold = {s = 3, per_s = 20} end)
 
--- Violations of what must hold; the run stops at the first one.
+-- Violations of the invariants; the run stops at the first one.
 local problems = {}
 local function check(ok, fmt, ...)
   if not ok then problems[#problems + 1] = string.format(fmt, ...) end
 end
-local acked, in_force, asked = g.version, {}, {}
+local acked, in_force, once_answers = g.version, {}, {}
 local served, failed = 0, 0
 
 -- The configuration version of a gateway only rises during one incarnation of its process.
@@ -67,7 +67,7 @@
       check(tonumber(id) == n, "cut stream %s is out of order: %s", r.id, r.body)
     end
   end
-  if o.once then asked[#asked + 1] = {id = r.id, status = r.status} end
+  if o.once then once_answers[#once_answers + 1] = {id = r.id, status = r.status} end
   if complete then served = served + 1 else failed = failed + 1 end
   return complete
 end
@@ -91,32 +91,32 @@
 end
 
 -- Faults: each function injects one and returns its description and a function that ends it.
-local function living(list)
+local function running(list)
   local out = {}
   for _, p in ipairs(list) do
     if p.pid and not p.gone and not p.suspended then out[#out + 1] = p end
   end
   return out
 end
-local function spare(list) return #living(list) > 1 + #list // 2 end
+local function may_lose_one(list) return #running(list) > 1 + #list // 2 end
 local function restart(p)
   p.gone = nil
   in_force[p] = nil
   p:start()
 end
-local function killed(list)
+local function kill_fault(list)
   return function()
-    if not spare(list) then return end
-    local p = one_of(living(list))
+    if not may_lose_one(list) then return end
+    local p = one_of(running(list))
     p:kill()
     p.gone = true
     return "kill " .. p.name, function() restart(p) end
   end
 end
-local function paused(list)
+local function pause_fault(list)
   return function()
-    if not spare(list) then return end
-    local p = one_of(living(list))
+    if not may_lose_one(list) then return end
+    local p = one_of(running(list))
     p:pause()
     p.suspended = true
     return "pause " .. p.name, function()
@@ -127,14 +127,14 @@
 end
 local function target_fault(name, n)
   return function()
-    local p = one_of(living(g.targets))
+    local p = one_of(running(g.targets))
     p:fault(name .. "=" .. n)
     return name .. " at " .. p.name, function() pcall(function() p:fault(name .. "=0") end) end
   end
 end
-local function relayed(mode)
+local function relay_fault(mode)
   return function()
-    local p = one_of(living(g.targets))
+    local p = one_of(running(g.targets))
     run.relay_set(p.relay, mode)
     return mode .. " the link to " .. p.name, function() run.relay_set(p.relay, "pass") end
   end
@@ -142,7 +142,7 @@
 -- Whether every control instance is a caught-up voter. Only then may a disk be lost: two of three lost at
 -- once are more than the system tolerates.
 local function is_group_complete()
-  for _, c in ipairs(living(g.control)) do
+  for _, c in ipairs(running(g.control)) do
     local r = run.http{url = "http://" .. c.health, path = "/v1/status", timeout = 2}
     local st = r.status == 200 and run.json(r.body)
     local n = 0
@@ -153,14 +153,14 @@
   end
 end
 local faults = {
-  killed(g.control), paused(g.control), killed(g.gateways), paused(g.gateways), paused(g.targets),
+  kill_fault(g.control), pause_fault(g.control), kill_fault(g.gateways), pause_fault(g.gateways), pause_fault(g.targets),
   target_fault("cut", 3), target_fault("reset", 3), target_fault("refuse", 5), target_fault("error", 5),
   target_fault("extra", 5), target_fault("mute", 2), target_fault("closing", 5), target_fault("gap", 30),
   target_fault("delay", 300), target_fault("unsigned_answer", 3), target_fault("silent", 1),
-  relayed("cut"), relayed("freeze"),
+  relay_fault("cut"), relay_fault("freeze"),
   function() -- a control instance is killed and loses its disk
-    if #living(g.control) < #g.control or not is_group_complete() then return end
-    local p = one_of(living(g.control))
+    if #running(g.control) < #g.control or not is_group_complete() then return end
+    local p = one_of(running(g.control))
     p:kill()
     p.gone = true
     os.execute("rm -rf " .. p.data_dir)
@@ -169,8 +169,8 @@
     return "disk of " .. p.name, function() restart(p) end
   end,
   function() -- a planned stop of a gateway
-    if not spare(g.gateways) then return end
-    local p = one_of(living(g.gateways))
+    if not may_lose_one(g.gateways) then return end
+    local p = one_of(running(g.gateways))
     p:signal("TERM")
     p.gone = true
     return "stop " .. p.name, function()
@@ -179,13 +179,13 @@
     end
   end,
   function() -- a target leaves and later returns
-    local p = one_of(living(g.targets))
+    local p = one_of(running(g.targets))
     if p.suspended then return end
     local before = p:stats().leaving_acked
     p:fault("leaving=1")
     return "leave " .. p.name, function()
-      if p.gone then return end -- it was killed meanwhile
-      if p.suspended then -- it was suspended meanwhile: it has to continue before its counters can be read
+      if p.gone then return end -- the target was killed meanwhile
+      if p.suspended then -- a suspended target has to continue before its counters can be read
         p:continue()
         p.suspended = nil
       end
@@ -201,7 +201,7 @@
   function() -- a new configuration is sent
     local version = g.version + 1
     local text = gateways.config_text(g:config())
-    for _, c in ipairs(living(g.control)) do
+    for _, c in ipairs(running(g.control)) do
       if g:control_call(c, "PUT", "/config", text).status == 200 then
         acked = math.max(acked, version)
         return "configuration " .. version, function() end
@@ -213,19 +213,19 @@
 -- An availability zone is evacuated: nothing new arrives there once all gateways know it.
 local evacuated
 local function order(method, zone)
-  for _, c in ipairs(living(g.control)) do
+  for _, c in ipairs(running(g.control)) do
     if g:control_call(c, method, "/evacuate/" .. zone).status == 200 then return true end
   end
 end
 local function arrivals(zone)
   local n = 0
-  for _, t in ipairs(living(g.targets)) do
+  for _, t in ipairs(running(g.targets)) do
     if zones[t.name] == zone then n = n + t:stats().arrivals end
   end
   return n
 end
 local function all_know(n)
-  for _, p in ipairs(living(g.gateways)) do
+  for _, p in ipairs(running(g.gateways)) do
     local ok, now = pcall(function() return p:counter("gateway_evacuated") end)
     if ok and now ~= n then return false end
   end
@@ -257,39 +257,39 @@
   return string.format('{"service":%q,"address":"127.0.0.1:9","zone":"az-1","version":"v1","slots":8,"state":"draining",' ..
     '"coldLeftMs":0,"born":%s,"seq":9000000%s}', t.service, born, more or "")
 end
-local function put(t, body)
-  local c = one_of(living(g.control))
+local function put_heartbeat(t, body)
+  local c = one_of(running(g.control))
   return run.http{url = "http://" .. c.health, method = "PUT", path = "/replicas/i-" .. t.name, body = body, timeout = 2,
     headers = {["Content-Type"] = "application/json"}}.status
 end
 local function restart_target()
-  if not spare(g.targets) then return end
-  local t = one_of(living(g.targets))
+  if not may_lose_one(g.targets) then return end
+  local t = one_of(running(g.targets))
   t:kill()
   t.gone = true
   return "kill " .. t.name, function()
     restart(t)
-    for _ = 1, draw(3) do put(t, heartbeat(t, os.time() * 1000 - 600000)) end
+    for _ = 1, draw(3) do put_heartbeat(t, heartbeat(t, os.time() * 1000 - 600000)) end
   end
 end
 local function malformed_heartbeats()
-  local t = one_of(living(g.targets))
+  local t = one_of(running(g.targets))
   local bodies = {"", "{", "[]", "\255\0\1", heartbeat(t, "1.5"), heartbeat(t, '"x"'), heartbeat(t, "-1"),
     heartbeat(t, "1", ',"seq":9000001'), ("["):rep(3000), (heartbeat(t, "1"):gsub('"slots":8', '"slots":null'))}
   for _ = 1, 5 do
-    local status = put(t, one_of(bodies))
-    check(status == 400 or status == 422 or status == 0 or status == 503, "a garbled heartbeat was answered %d", status)
+    local status = put_heartbeat(t, one_of(bodies))
+    check(status == 400 or status == 422 or status == 0 or status == 503, "a malformed heartbeat was answered %d", status)
   end
-  return "garbled heartbeats of " .. t.name, function() end
+  return "malformed heartbeats of " .. t.name, function() end
 end
 local MAX_CRASHES = 3
 local crashes = 0
 local function crash()
-  if #living(g.targets) < #g.targets or portals < MAX_CRASHES + 2 then return end
+  if #running(g.targets) < #g.targets or portals < MAX_CRASHES + 2 then return end
   crashes = crashes + 1
   local crashed = {}
   for _ = 1, 12 do
-    g:ask{path = "/once/a", body = "crash " .. SEED .. " " .. crashes, gateway = one_of(living(g.gateways)), timeout = 12}
+    g:ask{path = "/once/a", body = "crash " .. SEED .. " " .. crashes, gateway = one_of(running(g.gateways)), timeout = 12}
     for _, t in ipairs(g.targets) do
       if not t.gone and run.wait(t.pid, 1) then
         t.gone = true
@@ -304,7 +304,7 @@
   end
 end
 local function pauses()
-  local p = one_of(living(({g.control, g.gateways, g.targets})[draw(3)]))
+  local p = one_of(running(({g.control, g.gateways, g.targets})[draw(3)]))
   for _ = 1, draw(3) do
     p:pause()
     run.pause(500 + draw(2500))
@@ -349,7 +349,7 @@
       t:fault(name .. "=0")
     end
   end
-  fleet.eventually("all is served again", function() return batch() == BATCH end, RECOVER_MS)
+  fleet.eventually("all requests are served again", function() return batch() == BATCH end, RECOVER_MS)
   fleet.eventually("the newest acknowledged configuration is stored", function()
     local stored = g:stored_config()
     return stored and stored.version >= acked
@@ -359,7 +359,7 @@
 
 -- A request that may run once ran at most once over all targets, and a request answered with 503, 429 or 408
 -- did not run.
-for _, a in ipairs(asked) do
+for _, a in ipairs(once_answers) do
   local ran = 0
   for _, t in ipairs(g.targets) do
     if not t.gone then ran = ran + tonumber(t:get("/ran?" .. a.id).body) end
