--- a/bench/bench_overload.c
+++ b/bench/bench_overload.c
@@ -1,5 +1,5 @@
 /* bench_overload.c: load curves of several gateways in front of model engines, with the
-** decision code of gateways (pwpick, pwplaces, pwshare) and with simpler policies; for a small
+** decision code of gateways (pwpick, pwshed, pwshare) and with simpler policies; for a small
 ** site and for a large one, whose hundred gateways learn each other's loads late.
 **
 ** An engine is simulated as a batch of slots that generates tokens the slower the more
@@ -16,7 +16,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TARGETS 180 /* as many as the large site has */
+/* Array sizes: the largest values of the sites below. */
+#define TARGETS 180
 #define SLOTS 48
 #define QUEUE 144
 #define GATEWAYS 103
@@ -27,7 +28,7 @@
 #define CHUNK 2048.0 /* prompt tokens read between two generated tokens */
 #define MOVE_MS 4    /* to copy a cached prompt from another engine */
 
-/* The simulated period in ms: usual load, a burst, usual load. Requests count from
+/* The simulated period in ms: normal load, a burst, normal load. Requests count from
 ** COUNT_FROM on, when the burst has reached its steady state. */
 #define BURST_FROM 3000
 #define COUNT_FROM 5000
@@ -35,9 +36,10 @@
 
 typedef struct kind {
   const char *name;
-  double per_s, worth, late_worth;
+  double per_s;             /* requests per second at normal load */
+  double worth, late_worth; /* value of an answer in goal_ms; of a later one */
   int urgency, goal_ms, deadline_ms;
-  double shared, own, out; /* tokens */
+  double shared, own, out; /* tokens: shared and own prompt part, output */
 } kind;
 
 /* A site: engines, gateways, and the requests that arrive. */
@@ -120,7 +122,7 @@
   job_state state;
   int arrived_at, retry_at, deadline_at; /* ms */
   int tries;
-  double to_read, to_make;
+  double prompt_left, output_left;
   int first_at; /* ms of its first token; -1: none yet */
 } job;
 
@@ -140,9 +142,9 @@
 } gateway;
 
 typedef struct figures {
-  double requests, in_goal, late, refused, failed, credit, possible, moved,
+  double requests, in_goal, late, refused, failed, earned, possible, moved,
       recomputed;
-  double kind_credit[KINDS], kind_possible[KINDS];
+  double kind_earned[KINDS], kind_possible[KINDS];
 } figures;
 
 typedef struct world {
@@ -170,13 +172,13 @@
          j->arrived_at < BURST_FROM + w->s->burst_ms;
 }
 
-static void end_job(world *w, job *j, double credit) {
+static void end_job(world *w, job *j, double earned) {
   const kind *k = &w->s->kinds[j->kind];
   j->state = DONE;
   if (!is_counted(w, j))
     return;
-  w->f.credit += credit;
-  w->f.kind_credit[j->kind] += credit / k->worth;
+  w->f.earned += earned;
+  w->f.kind_earned[j->kind] += earned / k->worth;
 }
 
 static void answered(world *w, job *j) {
@@ -244,10 +246,10 @@
 static void start_run(world *w, engine *e, job *j) {
   const kind *k = &w->s->kinds[j->kind];
   j->state = RUNS;
-  j->to_read = k->own + FIRST_MS * w->s->read_per_ms / 10;
+  j->prompt_left = k->own + FIRST_MS * w->s->read_per_ms / 10;
   if (!caches(e, j->kind, j->prompt)) {
     int moves = is_cached_elsewhere(w, j);
-    j->to_read += moves ? MOVE_MS * w->s->read_per_ms : k->shared;
+    j->prompt_left += moves ? MOVE_MS * w->s->read_per_ms : k->shared;
     w->f.moved += moves * k->shared / 1000;
     w->f.recomputed += !moves * k->shared / 1000;
   }
@@ -291,25 +293,25 @@
   double chunk_ms = CHUNK / w->s->read_per_ms;
   job *reader = NULL;
   for (int i = 0; !reader && i < e->nrunning; i++)
-    if (e->running[i]->to_read > 0)
+    if (e->running[i]->prompt_left > 0)
       reader = e->running[i];
   double token_ms = reader ? step + chunk_ms : step;
   if (reader)
-    reader->to_read -= CHUNK / token_ms;
+    reader->prompt_left -= CHUNK / token_ms;
   int n = 0;
   for (int i = 0; i < e->nrunning; i++) {
     job *j = e->running[i];
-    if (j->to_read <= 0) {
+    if (j->prompt_left <= 0) {
       if (j->first_at < 0)
         j->first_at = w->now;
-      j->to_make -= 1 / token_ms;
+      j->output_left -= 1 / token_ms;
     }
-    if (j->to_make > 0 && w->now < j->deadline_at) {
+    if (j->output_left > 0 && w->now < j->deadline_at) {
       e->running[n++] = j;
       continue;
     }
     release_slot(w, j);
-    if (j->to_make <= 0)
+    if (j->output_left <= 0)
       answered(w, j);
     else
       failed(w, j);
@@ -374,11 +376,11 @@
 }
 
 /* Whether a gateway already uses its share of the slots. */
-static int uses_its_share(world *w, const gateway *g, double kept) {
+static int uses_its_share(world *w, const gateway *g, double reserve) {
   double mine = pwshare_rate(&g->share, w->now);
   double slots =
       pwshare_slots(mine, mine + g->others_rate, w->s->targets * w->s->slots,
-                    g->own + g->others_total, kept);
+                    g->own + g->others_total, reserve);
   return g->own + random_unit(w) > slots;
 }
 
@@ -428,9 +430,9 @@
 
 /* Draws a gateway at random, weighted by its callers. */
 static int draw_gateway(world *w) {
-  double who = random_unit(w) * w->gateway[w->ngateways - 1].callers;
+  double drawn = random_unit(w) * w->gateway[w->ngateways - 1].callers;
   int g = 0;
-  while (w->gateway[g].callers < who)
+  while (w->gateway[g].callers < drawn)
     g++;
   return g;
 }
@@ -447,7 +449,7 @@
              .gateway = draw_gateway(w),
              .arrived_at = w->now,
              .deadline_at = w->now + k->deadline_ms,
-             .to_make = k->out * size,
+             .output_left = k->out * size,
              .first_at = -1};
   if (is_counted(w, j)) {
     w->f.requests++;
@@ -573,14 +575,14 @@
   double s = (BURST_FROM + sh->burst_ms - COUNT_FROM) / 1000.0;
   printf("| %s | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f |",
          policy_names[pol], load, f->requests / s, f->in_goal / s, f->late / s,
-         f->refused / s, f->failed / s, f->credit / f->possible);
+         f->refused / s, f->failed / s, f->earned / f->possible);
   for (int k = 0; k < KINDS; k++)
-    printf(" %.2f", f->kind_credit[k] / f->kind_possible[k]);
+    printf(" %.2f", f->kind_earned[k] / f->kind_possible[k]);
   printf(" | %.0f | %.0f |\n", f->moved, f->recomputed);
 }
 
-/* Writes the curves as SVG; `scale` is the credit per second of one pixel. */
-static void plot(const char *path, double credit[POLICIES][LOADS],
+/* Writes the curves as SVG; `scale` is the worth of answers per second that one pixel stands for. */
+static void plot(const char *path, double earned[POLICIES][LOADS],
                  double scale) {
   static const char *const colours[POLICIES] = {"#1b6", "#c3c", "#c33",
                                                 "#c90", "#999", "#36c"};
@@ -597,7 +599,7 @@
     fprintf(f, "<polyline fill='none' stroke='%s' stroke-width='2' points='",
             colours[p]);
     for (int i = 0; i < LOADS; i++)
-      fprintf(f, "%.0f,%.0f ", 40 + loads[i] * 42, 310 - credit[p][i] / scale);
+      fprintf(f, "%.0f,%.0f ", 40 + loads[i] * 42, 310 - earned[p][i] / scale);
     fprintf(f, "'/>\n<text x='480' y='%d' fill='%s'>%s</text>\n", 60 + 20 * p,
             colours[p], policy_names[p]);
   }
@@ -608,7 +610,7 @@
   fclose(f);
 }
 
-static void run_shape(const shape *sh, double credit[POLICIES][LOADS]) {
+static void run_shape(const shape *sh, double earned[POLICIES][LOADS]) {
   printf("## %s: %d gateways, %d engines of %d slots, seeds 1 to %d\n\n",
          sh->name, sh->gateways, sh->targets, sh->slots, sh->seeds);
   printf(
@@ -623,19 +625,19 @@
         add(&mean, &f, sh->seeds);
       }
       print_row(sh, (policy)p, loads[i], &mean);
-      credit[p][i] =
-          mean.credit * 1000 / (BURST_FROM + sh->burst_ms - COUNT_FROM);
+      earned[p][i] =
+          mean.earned * 1000 / (BURST_FROM + sh->burst_ms - COUNT_FROM);
     }
   printf("\n");
 }
 
 int main(int argc, char **argv) {
-  double credit[SHAPES][POLICIES][LOADS];
+  double earned[SHAPES][POLICIES][LOADS];
   for (int i = 0; i < SHAPES; i++)
-    run_shape(&shapes[i], credit[i]);
+    run_shape(&shapes[i], earned[i]);
   if (argc > 1)
-    plot(argv[1], credit[0], 4);
+    plot(argv[1], earned[0], 4);
   if (argc > 2)
-    plot(argv[2], credit[1], 24);
+    plot(argv[2], earned[1], 24);
   return 0;
 }
--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -27,14 +27,15 @@
 #define PREFILL 8000.0      /* prompt tokens a second */
 #define STREAM 30.0         /* output tokens a second of one stream */
 #define RATE 2000.0         /* load that an engine finishes per second */
-#define REPORT_MS 250
+#define REPORT_MS 250       /* between load reports */
 #define DEADLINE_MS 60000
-#define FLOOR 3000.0
+#define FLOOR 3000.0 /* tokens; a lower load is always within the bound */
+/* Part of the way from the mean load to the bound that starts may use. */
 #define MARGIN_EVENTS 0.9
-#define EVENTS_HELD 4096
-#define EVENTS_LATE_MS 1000
-#define EVENTS_LOST 0.02 /* share of event batches that lack one event */
-#define IMPORT 40000.0   /* prompt tokens a second copied from another engine */
+#define EVENTS_MAX 4096     /* events of an engine not yet delivered */
+#define EVENTS_LATE_MS 1000 /* delay of events to the agent */
+#define EVENTS_LOST 0.02    /* share of event batches that lack one event */
+#define IMPORT 40000.0 /* prompt tokens a second copied from another engine */
 
 typedef enum policy {
   P_PEATWELL,
@@ -63,7 +64,7 @@
 
 typedef struct workload {
   const char *name;
-  int targets, zones, chats;
+  int targets, availability_zones, chats;
   double per_s; /* requests a second outside of bursts */
   double burst; /* factor on per_s in bursts */
   int burst_every_ms, burst_ms;
@@ -103,7 +104,7 @@
 
 /* Cache events of an engine that its agent has not received yet. */
 typedef struct event_log {
-  pw_cache_event e[EVENTS_HELD];
+  pw_cache_event e[EVENTS_MAX];
   size_t n;
   uint64_t newest;
 } event_log;
@@ -117,7 +118,7 @@
   cached *cache;
   int cache_used;
   pw_admit admit;
-  pw_cache known;
+  pw_cache known; /* the agent's estimate of the cache */
   pw_move move;
   pw_chats *pointers;
   pw_pool_sum view;
@@ -135,7 +136,7 @@
   double prompt, hit;
   double skew_peak, skew_sum, skew_n, over_bound;
   double control_bytes;
-  double *quiet_wait;
+  double *quiet_wait; /* ms; waits of requests of the small workspaces */
   int nquiet, cap;
   double first_p99;
   int64_t decide_ns;
@@ -153,7 +154,7 @@
   uint64_t *ids;
   chat *chats;
   int nchats;
-  int rr;
+  int next_in_turn;
   result r;
   int entry; /* whose view of the loads get_route gives */
   double limit;
@@ -179,7 +180,7 @@
     return;
   event_log *l = e->events;
   l->newest++;
-  if (l->n == EVENTS_HELD)
+  if (l->n == EVENTS_MAX)
     return; /* the log is full; the agent sees a gap */
   pw_cache_event *v = &l->e[l->n++];
   *v = (pw_cache_event){
@@ -200,7 +201,8 @@
   return c ? c->tokens : 0;
 }
 
-/* uthash keeps insertion order, so the first entry is the least recently used. */
+/* Returns the cached tokens of the prompt and caches all of it. uthash keeps insertion order, so the first
+** entry is the least recently used. */
 static int cache_use(engine *e, int id, int tokens, int64_t now) {
   cached *c;
   int hit = 0;
@@ -354,7 +356,7 @@
   }
 }
 
-/* Takes finished work off the load of an engine and of its agent. */
+/* Subtracts finished work from the load of an engine and from its agent's count. */
 static void progress(world *w, engine *e, job *j, double load) {
   e->load -= load;
   if (!is_peatwell(w))
@@ -428,24 +430,24 @@
 }
 
 static void put_pointer_at_home(world *w, const job *j, const engine *at) {
-  char name[24], where[24];
+  char name[24], target[24];
   engine *home = by_id(w, pwplace_rank(w->place, j->walk.key, 0));
   if (!home || home == at || !home->up)
     return;
   chat_name(j->chat, name);
-  snprintf(where, sizeof where, "%d", (int)(at - w->e));
-  pwchat_put(home->pointers, name, where, 0, w->now);
+  snprintf(target, sizeof target, "%d", (int)(at - w->e));
+  pwchat_put(home->pointers, name, target, 0, w->now);
   w->r.control_bytes += 90;
 }
 
-/* Tries one agent; gives 1 if it accepted the request, 0 if it refused. */
+/* Sends the request to one agent. Returns 1 when the agent accepted it, 0 when it refused. */
 static int try_agent(world *w, job *j, engine *e, const pw_route_pick *pick) {
-  char name[24], where[PW_NAME_MAX];
+  char name[24], target[PW_NAME_MAX];
   chat_name(j->chat, name);
   uint32_t known = pwcache_expect(&e->known, name, w->now);
   if (pick->need_prefix && !known) {
-    if (!j->walk.pointer && pwchat_get(e->pointers, name, where, NULL, w->now))
-      j->walk.pointer = w->e[atoi(where)].id;
+    if (!j->walk.pointer && pwchat_get(e->pointers, name, target, NULL, w->now))
+      j->walk.pointer = w->e[atoi(target)].id;
     pwroute_refused(&j->walk, e->id, PW_REFUSED_PREFIX_MISS, 0, 0);
     return 0;
   }
@@ -462,15 +464,15 @@
   j->cost = PWBOUND_PROMPT_WEIGHT * compute + j->output;
   char ws[24];
   snprintf(ws, sizeof ws, "w%d", j->workspace);
-  pw_admit_request ask = {.workspace = ws,
-                          .weight = 1,
-                          .priority = 4,
-                          .cost = j->cost,
-                          .recompute = known * pwmove_share(&e->move),
-                          .deadline = j->arrived + DEADLINE_MS,
-                          .may_queue = pick->may_queue,
-                          .job = j};
-  pw_admit_answer a = pwadmit_decide(&e->admit, &ask, &e->view, w->now);
+  pw_admit_request request = {.workspace = ws,
+                              .weight = 1,
+                              .priority = 4,
+                              .cost = j->cost,
+                              .recompute = known * pwmove_share(&e->move),
+                              .deadline = j->arrived + DEADLINE_MS,
+                              .may_queue = pick->may_queue,
+                              .job = j};
+  pw_admit_answer a = pwadmit_decide(&e->admit, &request, &e->view, w->now);
   if (a.evicted_job) {
     w->r.refused++;
     free(a.evicted_job);
@@ -496,7 +498,7 @@
   j->walk = (pw_route_walk){
       .key = pwplace_key("m", name),
       .draw = random_bits(w),
-      .availability_zone = 1 + (uint32_t)(j->entry % w->w.zones),
+      .availability_zone = 1 + (uint32_t)(j->entry % w->w.availability_zones),
       .cost = PWBOUND_PROMPT_WEIGHT * j->prompt + j->output,
       .returning = w->chats[j->chat].turns > 0};
   pw_route_pool pool = {w->place, w->ids, w->n, w, get_route};
@@ -591,7 +593,7 @@
   switch (w->p) {
   case P_ROUND_ROBIN:
     do
-      e = &w->e[w->rr++ % w->n];
+      e = &w->e[w->next_in_turn++ % w->n];
     while (!e->up);
     break;
   case P_LEAST_STALE:
@@ -772,7 +774,7 @@
   for (int i = 0; i < w->n; i++) {
     engine *e = &w->e[i];
     e->id = ((uint64_t)i << 32) | (0x1234567 + (uint32_t)i * 7919U);
-    e->availability_zone = 1 + (uint32_t)(i % w->w.zones);
+    e->availability_zone = 1 + (uint32_t)(i % w->w.availability_zones);
     e->up = 1;
     pwcache_init(&e->known);
     pwmove_init(&e->move, w->p == P_MOVES || w->p == P_EVENTS);
--- a/tests/fakes/cachelog.c
+++ b/tests/fakes/cachelog.c
@@ -4,7 +4,7 @@
 #include "pwbuf.h"
 #include "pwclock.h"
 
-#define EVENTS_MAX 1024 /* older events are lost: late readers see a gap */
+#define EVENTS_MAX 1024 /* older events are lost, which readers see as a gap */
 #define KEY_BYTES 256
 
 typedef struct event {
--- a/tests/fakes/fake_target.c
+++ b/tests/fakes/fake_target.c
@@ -2,7 +2,7 @@
 ** faults.
 **
 ** fake-target IP:PORT CONTROL,CONTROL SERVICE ZONE ID [ADVERTISED [VERSION]]
-** ADVERTISED is the address in the heartbeats.
+** ZONE is the availability zone, ADVERTISED the address in the heartbeats.
 ** GET /fault?NAME=N sets a fault. GET /stats returns counters, GET /ran?ID how often a request ran.
 ** GET /hold_off?TEXT sets the Retry-After of the faults shed, shed_ran and hint: "+" stands for a blank, and
 ** ";" separates the values of several header lines.
@@ -28,28 +28,28 @@
 
 /* X(name): faults; each is a number, mostly of the next requests that it applies to. */
 #define FAULTS(X)                                                              \
-  X(refuse)       /* refused with proof that nothing ran */                    \
-  X(shed)         /* the same with a Retry-After */                            \
-  X(shed_ran)     /* run, then 503 with a Retry-After */                       \
-  X(hint)         /* a successful answer with a Retry-After */                 \
-  X(says_leaving) /* every answer says that the target is leaving */           \
-  X(error)        /* run, 500 */                                               \
-  X(cut)          /* run, broken off in the middle of the answer */            \
-  X(reset)        /* run, no answer, reset */                                  \
-  X(mute)         /* run, no answer at all */                                  \
-  X(extra)        /* a second answer after the complete one */                 \
-  X(unsigned_answer)                                                           \
-  X(unframed) /* the answer ends with its connection */                        \
-  X(delay)    /* ms before an answer */                                        \
-  X(gap)      /* ms between events */                                          \
-  X(leaving)  /* the heartbeats say that the target is leaving */              \
-  X(silent)   /* no heartbeats */                                              \
-  X(closing)  /* closes a reused connection when a request arrives */          \
-  X(cold)     /* ms for which the heartbeats report the target as cold */      \
-  X(grey)     /* a crashing request gets 500 instead of a crash */             \
-  X(bad)      /* percentage of the requests that run and fail */               \
-  X(skip)     /* added to the number of the next heartbeat */                  \
-  X(unborn)   /* the heartbeats do not contain the start time */
+  X(refuse)          /* refused with proof that nothing ran */                 \
+  X(shed)            /* as refuse, with a Retry-After */                       \
+  X(shed_ran)        /* run, then answered with 503 and a Retry-After */       \
+  X(hint)            /* a successful answer with a Retry-After */              \
+  X(says_leaving)    /* every answer reports the target as leaving */          \
+  X(error)           /* run, then answered with 500 */                         \
+  X(cut)             /* run; the answer is cut in its middle */                \
+  X(reset)           /* run; the connection is reset without an answer */      \
+  X(mute)            /* run; nothing is sent and the connection stays open */  \
+  X(extra)           /* a second answer after the complete one */              \
+  X(unsigned_answer) /* the answer lacks the signature of the target */        \
+  X(unframed)        /* the answer ends with its connection */                 \
+  X(delay)           /* ms before an answer */                                 \
+  X(gap)             /* ms between events */                                   \
+  X(leaving)         /* the heartbeats report the target as leaving */         \
+  X(silent)          /* no heartbeats */                                       \
+  X(closing)         /* closes a reused connection when a request arrives */   \
+  X(cold)   /* ms for which the heartbeats report the target as cold */        \
+  X(grey)   /* a crashing request gets 500 instead of a crash */               \
+  X(bad)    /* percentage of the requests that run and fail */                 \
+  X(skip)   /* added to the number of the next heartbeat */                    \
+  X(unborn) /* the heartbeats do not contain the start time */
 
 typedef struct faults {
 #define FAULT_FIELD(name) int name;
@@ -83,7 +83,10 @@
   int ncontrol, at_control;
   faults f;
   run *runs;
-  int total, most, arrivals, left, acked, leaving_acked;
+  int total, most;          /* runs of all requests; most runs of one */
+  int arrivals;             /* requests received, also those not run */
+  int left;                 /* connections that ended during a request */
+  int acked, leaving_acked; /* heartbeats acknowledged; those of a leave */
   uint64_t seq;
   int64_t born; /* Unix ms */
   char workspace[ID_MAX], last_key[ID_MAX];
--- a/tests/fuzz/fuzz_parsers.c
+++ b/tests/fuzz/fuzz_parsers.c
@@ -121,21 +121,21 @@
 
 /* An engine's cache events, applied to an agent's cache estimate. */
 static void fuzz_cache_events(const uint8_t *data, size_t n) {
-  pw_cache_update news;
+  pw_cache_update update;
   pw_cache c;
-  if (pwkvfeed_read((const char *)data, n, 1000, &news) != 0)
+  if (pwkvfeed_read((const char *)data, n, 1000, &update) != 0)
     return;
   pwcache_init(&c);
-  pwcache_update(&c, &news);
+  pwcache_update(&c, &update);
   pwcache_free(&c);
-  pwkvfeed_clear(&news);
+  pwkvfeed_clear(&update);
 }
 
 /* Bytes of an HTTP connection in pieces of up to 64; the headers of a complete message are then read. */
 static void fuzz_http(const uint8_t *data, size_t n) {
   pw_h1 m;
-  pw_request_info ask;
-  pw_answer_info told;
+  pw_request_info request;
+  pw_answer_info answer;
   if (n < 2)
     return;
   size_t step = 1 + data[1] % 64;
@@ -150,8 +150,8 @@
   if (m.state == PWH1_BODY)
     pwh1_eof(&m);
   if (m.state == PWH1_DONE) {
-    plat_read_request(&m, &ask);
-    plat_read_answer(&m, &ask, &told);
+    plat_read_request(&m, &request);
+    plat_read_answer(&m, &request, &answer);
     for (int i = 0; i < m.nheaders; i++)
       pwh1_is_hop_by_hop(&m, &m.header[i]);
     pwh1_reset(&m);
@@ -176,7 +176,7 @@
   free(path);
 }
 
-/* A configuration document that arrives at a holder of an earlier version. */
+/* A document message, applied to a configuration document of an earlier version. */
 static void fuzz_document(const uint8_t *data, size_t n) {
   Pw__Document *in = pw__document__unpack(NULL, n, data);
   pw_doc *d = pwdoc_new();
@@ -191,33 +191,34 @@
     pw__document__free_unpacked(in, NULL);
 }
 
-static void check_suspect(void *arg, uint64_t sign, pw_quar_change news) {
+static void check_suspect(void *arg, uint64_t fingerprint,
+                          pw_quar_change change) {
   const pw_quarantine *q = arg;
-  if (!sign || news == PWQUAR_UNCHANGED ||
-      pwquar_crashes(q, sign) > PW_QUARANTINE_CRASHES)
+  if (!fingerprint || change == PWQUAR_UNCHANGED ||
+      pwquar_crashes(q, fingerprint) > PW_QUARANTINE_CRASHES)
     abort();
 }
 
 /* Gossip of a gateway, one datagram after another: its loads, and the requests that crashed targets. */
 static void fuzz_gossip(const uint8_t *data, size_t n) {
-  pw_gossip_loads told = {0};
+  pw_gossip_loads loads = {0};
   pw_loads sum = {0};
   pw_quarantine *q = pwquar_new();
   for (size_t at = 0; at + 1 < n;) {
     size_t len = data[at] < n - at - 1 ? data[at] : n - at - 1;
     Pw__Gossip *m = pw__gossip__unpack(NULL, len, data + at + 1);
     if (m) {
-      pwgossipmsg_take(&told, m, 1);
+      pwgossipmsg_take(&loads, m, 1);
       pwsuspects_receive(q, m->suspects, m->n_suspects, 1, check_suspect, q);
       pwquar_tick(q, 2);
       pw__gossip__free_unpacked(m, NULL);
     }
     pwloads_clear(&sum);
-    pwgossipmsg_sum(&told, &sum);
+    pwgossipmsg_sum(&loads, &sum);
     at += len + 1;
   }
   pwquar_free(q);
-  pwgossipmsg_free(&told);
+  pwgossipmsg_free(&loads);
   pwloads_free(&sum);
 }
 
