--- a/tests/mixed_builds.lua
+++ b/tests/mixed_builds.lua
@@ -153,7 +153,7 @@
   local handles = {}
   for _, t in ipairs(g.targets) do t:fault("gap=300") end
   for i = 1, 4 do handles[i] = run.http_start((g:call{path = "/chat/s", events = 8, body = what .. i, gateway = g.gateways[1]})) end
-  fleet.eventually(what .. ": the other gateway is told of 4 streams", function()
+  fleet.eventually(what .. ": the other gateway knows of 4 streams", function()
     return g.gateways[2]:counter("gateway_others") == 4
   end)
   for _, h in ipairs(handles) do run.http_wait(h) end
